--- a/crates/peers/src/node.rs
+++ b/crates/peers/src/node.rs
@@ -1,6 +1,8 @@
-//! A relay among its peers: asks when it starts, answers who asks, passes on what is worth it, within what the link's
-//! budget allows. A channel of the link: frames, observations and the time go in; frames and beliefs come out. Owns the
-//! order in which things are told. It must never say more than it is allowed to.
+//! A relay that exchanges observations with its peers: it requests them when it starts, answers the requests of others, and
+//! passes on significant changes, within the byte budget of the link. It is a channel of the peer link: frames, own
+//! observations and the time go in; frames and believed observations come out.
+//!
+//! Invariant: it never sends more than its allowance.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,201 +12,224 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::fact::{Fact, Kind, Known, Micros, Peer, SECOND};
-use crate::ledger::Ledger;
-use crate::note::{Item, Told, read};
+use crate::item::{Item, RelativeObservation, decode};
+use crate::observation::{Kind, Micros, Observation, Observed, Peer, SECOND};
+use crate::table::ObservationTable;
 
-/// The channel of facts.
+/// Number of the observation channel on the peer link.
 pub const CHANNEL: u8 = 2;
 
-/// A starter asks so many at once ...
-const ASKED: usize = 3;
-/// ... and so many others, or the same, so often ...
-const ASKS: u32 = 12;
-/// ... while a round of answers brings more than one fact in so many that are known ...
-const WORTH_ASKING: usize = 50;
-/// ... or for so many rounds that did not, one after the other ...
-const QUIET: u32 = 3;
-/// ... so long after the time before.
-const ASK_AGAIN: Micros = SECOND / 4;
-/// Answers of those asked begin spread over this.
-const SPREAD: Micros = SECOND / 50;
-/// Changes go to so many, where there are more.
+/// Number of peers that a starting relay asks in one round.
+const PEERS_PER_ROUND: usize = 3;
+/// Maximum number of rounds.
+const MAX_ROUNDS: u32 = 12;
+/// A round counts as productive if it brings more than one new observation in this number of those held.
+const PRODUCTIVE_DIVISOR: usize = 50;
+/// Number of consecutive unproductive rounds after which a relay stops asking.
+const MAX_UNPRODUCTIVE_ROUNDS: u32 = 3;
+/// Interval between rounds, in microseconds.
+const ROUND_INTERVAL: Micros = SECOND / 4;
+/// Maximum random delay before a peer begins to answer, in microseconds.
+const MAX_ANSWER_DELAY: Micros = SECOND / 50;
+/// Maximum number of peers that a change is sent to.
 const FANOUT: usize = 4;
-/// A fact is passed on so often at the most.
-const MOST_HOPS: u8 = 3;
-/// What has faded is forgotten so often.
-const FORGET: Micros = SECOND / 2;
-/// Facts of one answer, and changes waiting, at the most.
-const MOST_WAITING: usize = 4096;
+/// Maximum number of times that an observation is passed on.
+const MAX_HOPS: u8 = 3;
+/// Interval at which stale observations are dropped, in microseconds.
+const CLEANUP_INTERVAL: Micros = SECOND / 2;
+/// Maximum number of observations in one answer, of changes waiting, and of updates waiting.
+const MAX_WAITING: usize = 4096;
 
-/// What a node is given.
+/// Configuration of a node.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// This relay's number.
+    /// Number of this relay.
     pub me: Peer,
-    /// Facts that it keeps, of its own and of others each.
-    pub most_facts: usize,
-    /// For what is drawn.
+    /// Maximum number of this relay's own observations, and of destinations and kinds observed by peers.
+    pub max_observations: usize,
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Whether it asks when it starts.
+    /// Whether the relay requests the observations of its peers when it starts.
     pub asks: bool,
 }
 
+/// An answer to the request of a starting relay.
 #[derive(Debug)]
 struct Answer {
     to: Peer,
+    /// When it begins.
     from: Micros,
+    /// Observations that are still to be sent.
     keys: VecDeque<(i64, Kind)>,
 }
 
-/// A relay among its peers.
+/// A relay that exchanges observations with its peers.
 #[derive(Debug)]
 pub struct Node {
     config: Config,
-    ledger: Ledger,
+    table: ObservationTable,
     rng: SmallRng,
-    /// Traffic by destination, as a weight.
+    /// Traffic by destination, in calls a second.
     traffic: BTreeMap<i64, f64>,
     answers: VecDeque<Answer>,
+    /// Changes that are still to be sent.
     changes: VecDeque<(i64, Kind)>,
-    asks: u32,
-    ask_at: Micros,
-    told: Vec<Peer>,
-    news: Vec<Fact>,
-    news_count: u64,
-    news_at_ask: u64,
-    quiet: u32,
-    short: Vec<(Peer, Item)>,
-    forget_at: Micros,
+    /// Rounds of requests that are left.
+    rounds: u32,
+    next_round: Micros,
+    /// Peers that have sent an observation.
+    answered: Vec<Peer>,
+    updates: Vec<Observation>,
+    update_count: u64,
+    /// The value of `update_count` at the last round.
+    updates_at_round: u64,
+    /// Consecutive unproductive rounds.
+    unproductive_rounds: u32,
+    requests: Vec<(Peer, Item)>,
+    next_cleanup: Micros,
 }
 
 impl Node {
-    /// A node that starts now.
+    /// Creates a node that starts now.
     pub fn new(config: Config, now: Micros) -> Self {
         Node {
-            ledger: Ledger::new(config.me, config.most_facts),
+            table: ObservationTable::new(config.me, config.max_observations),
             rng: SmallRng::seed_from_u64(config.seed),
             traffic: BTreeMap::new(),
             answers: VecDeque::new(),
             changes: VecDeque::new(),
-            asks: if config.asks { ASKS } else { 0 },
-            ask_at: now,
-            told: Vec::new(),
-            news: Vec::new(),
-            news_count: 0,
-            news_at_ask: 0,
-            quiet: 0,
-            short: Vec::new(),
-            forget_at: now,
+            rounds: if config.asks { MAX_ROUNDS } else { 0 },
+            next_round: now,
+            answered: Vec::new(),
+            updates: Vec::new(),
+            update_count: 0,
+            updates_at_round: 0,
+            unproductive_rounds: 0,
+            requests: Vec::new(),
+            next_cleanup: now,
             config,
         }
     }
 
-    /// What is known.
-    pub fn ledger(&self) -> &Ledger {
-        &self.ledger
+    /// The observation table.
+    pub fn table(&self) -> &ObservationTable {
+        &self.table
     }
 
-    /// Facts that were news, in all.
-    pub fn news_count(&self) -> u64 {
-        self.news_count
+    /// Number of new observations received from peers.
+    pub fn update_count(&self) -> u64 {
+        self.update_count
     }
 
-    /// The facts that were news since this was last asked.
-    pub fn take_news(&mut self) -> Vec<Fact> {
-        std::mem::take(&mut self.news)
+    /// Takes the new observations received from peers since the last call.
+    pub fn take_updates(&mut self) -> Vec<Observation> {
+        std::mem::take(&mut self.updates)
     }
 
-    /// Another set of peers, as on a reload.
-    pub fn replaced(&mut self, members: &Members) {
-        self.ledger.trust.retain(|peer| members.has(peer));
+    /// Replaces the set of peers, after a reload of the configuration.
+    pub fn set_members(&mut self, members: &Members) {
+        self.table.trust.retain(|peer| members.has(peer));
         self.answers.retain(|answer| members.has(answer.to));
     }
 
-    /// This relay saw something of a destination; `traffic` is what it sends there, in calls a second. Tells whether
-    /// it turns what was believed: a trouble begun or over, or a wait told.
-    pub fn observe(&mut self, now: Micros, destination: i64, known: Known, traffic: f64) -> bool {
-        let before = self.ledger.believed(now, destination, known.kind()).map(|(fact, _)| fact.known);
-        let turns = changed(before.as_ref(), &known, now);
-        self.ledger.observe(now, destination, known);
-        if self.traffic.len() < self.config.most_facts || self.traffic.contains_key(&destination) {
+    /// Adds an observation of this relay; `traffic` is the rate of its calls to the destination, in calls a second. Returns
+    /// whether it is a significant change: an outage that began or ended, or a server-requested wait.
+    pub fn observe(&mut self, now: Micros, destination: i64, observed: Observed, traffic: f64) -> bool {
+        let before = self
+            .table
+            .believed(now, destination, observed.kind())
+            .map(|(observation, _)| observation.observed);
+        let significant = is_significant(before.as_ref(), &observed, now);
+        self.table.observe(now, destination, observed);
+        if self.traffic.len() < self.config.max_observations || self.traffic.contains_key(&destination) {
             self.traffic.insert(destination, traffic);
         }
-        if turns {
-            self.change((destination, known.kind()));
+        if significant {
+            self.queue_change((destination, observed.kind()));
         }
-        turns
+        significant
     }
 
-    /// What an earlier process of this relay saw or heard then.
-    pub fn restore(&mut self, now: Micros, members: &Members, fact: Fact) {
-        if members.has(fact.source) || fact.source == self.config.me {
-            self.ledger.restore(now, fact);
+    /// Adds an observation from the snapshot of an earlier process of this relay.
+    pub fn restore(&mut self, now: Micros, members: &Members, observation: Observation) {
+        if members.has(observation.source) || observation.source == self.config.me {
+            self.table.restore(now, observation);
         }
     }
 
-    fn change(&mut self, key: (i64, Kind)) {
-        if self.changes.len() < MOST_WAITING && !self.changes.contains(&key) {
+    fn queue_change(&mut self, key: (i64, Kind)) {
+        if self.changes.len() < MAX_WAITING && !self.changes.contains(&key) {
             self.changes.push_back(key);
         }
     }
 
-    fn fact(&mut self, now: Micros, from: &Sender, members: &Members, told: &Told) {
+    /// Merges a peer's observation, and passes it on if it is a significant change.
+    fn receive_observation(
+        &mut self, now: Micros, from: &Sender, members: &Members, received: &RelativeObservation,
+    ) {
         let sent = now - from.late;
-        let fact = Fact {
-            destination: told.destination,
-            known: told.known.shifted(sent),
-            at: sent.saturating_sub(told.age),
-            source: told.source,
-            hops: told.hops.saturating_add(u8::from(told.source != from.peer)),
+        let observation = Observation {
+            destination: received.destination,
+            observed: received.observed.shifted(sent),
+            at: sent.saturating_sub(received.age),
+            source: received.source,
+            hops: received.hops.saturating_add(u8::from(received.source != from.peer)),
         };
-        if !self.told.contains(&from.peer) {
-            self.told.push(from.peer);
+        if !self.answered.contains(&from.peer) {
+            self.answered.push(from.peer);
         }
-        let kind = fact.known.kind();
-        let before = self.ledger.believed(now, fact.destination, kind).map(|(fact, _)| fact.known);
-        if members.has(fact.source) && self.ledger.hear(now, fact) {
-            self.news_count += 1;
-            if self.news.len() < MOST_WAITING {
-                self.news.push(fact);
+        let kind = observation.observed.kind();
+        let before = self
+            .table
+            .believed(now, observation.destination, kind)
+            .map(|(observation, _)| observation.observed);
+        if members.has(observation.source) && self.table.merge(now, observation) {
+            self.update_count += 1;
+            if self.updates.len() < MAX_WAITING {
+                self.updates.push(observation);
             }
             let few = members.present().len() <= FANOUT;
-            // What was believed already, others have heard as well.
-            if changed(before.as_ref(), &fact.known, now) && fact.hops < MOST_HOPS && !few {
-                self.change((fact.destination, kind));
+            // What this relay believed already, its peers have received as well.
+            if is_significant(before.as_ref(), &observation.observed, now)
+                && observation.hops < MAX_HOPS
+                && !few
+            {
+                self.queue_change((observation.destination, kind));
             }
         }
     }
 
-    /// Somebody starts: what is most useful to it, its own part first, so that those asked do not all begin
-    /// alike; what others should have told follows in case that it was lost.
-    fn asked(&mut self, now: Micros, to: Peer, part: u8, of: u8) {
-        // An answer on its way goes on: begun anew each time, it would never come to its end.
+    /// Queues the answer to a starting relay: observations in order of their use to it, this relay's share first, so that the
+    /// peers asked begin with different ones. The shares of the other peers follow in case their answers are lost.
+    fn receive_request(&mut self, now: Micros, to: Peer, part: u8, of: u8) {
+        // An answer in progress continues. If each request restarted it, it would never be complete.
         if self.answers.iter().any(|answer| answer.to == to) {
             return;
         }
         let mut useful: Vec<(f64, (i64, Kind))> = self
-            .ledger
+            .table
             .all(now)
-            .filter(|(fact, _)| fact.source != to && fact.hops < MOST_HOPS)
-            .map(|(fact, weight)| {
-                let traffic = self.traffic.get(&fact.destination).copied().unwrap_or(0.1);
-                (weight * fact.known.differs(now) * (0.1 + traffic), (fact.destination, fact.known.kind()))
+            .filter(|(observation, _)| observation.source != to && observation.hops < MAX_HOPS)
+            .map(|(observation, weight)| {
+                let traffic = self.traffic.get(&observation.destination).copied().unwrap_or(0.1);
+                (
+                    weight * observation.observed.impact(now) * (0.1 + traffic),
+                    (observation.destination, observation.observed.kind()),
+                )
             })
-            .filter(|(use_of, _)| *use_of > 0.0)
+            .filter(|(usefulness, _)| *usefulness > 0.0)
             .collect();
         useful.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        useful.truncate(MOST_WAITING);
+        useful.truncate(MAX_WAITING);
         let (of, part) = (usize::from(of).max(1), usize::from(part));
         let mine = |(destination, _): &(i64, Kind)| destination.unsigned_abs() as usize % of == part;
         let (first, rest): (Vec<_>, Vec<_>) = useful.into_iter().map(|(_, key)| key).partition(mine);
-        let from = now + self.rng.random_range(0..=SPREAD);
+        let from = now + self.rng.random_range(0..=MAX_ANSWER_DELAY);
         self.answers.push_back(Answer { to, from, keys: first.into_iter().chain(rest).collect() });
     }
 
-    /// A piece of changes, to all that are to have it; how many bytes it took, if there was one.
-    fn tell_changes(&mut self, now: Micros, members: &Members, room: usize, out: &mut Vec<Said>) -> usize {
+    /// Sends one frame of changes to up to [`FANOUT`] peers. Returns the bytes used, or 0 if there are no changes.
+    fn send_changes(&mut self, now: Micros, members: &Members, room: usize, out: &mut Vec<Said>) -> usize {
         if self.changes.is_empty() {
             return 0;
         }
@@ -218,63 +243,69 @@
         if items.is_empty() {
             return 1;
         }
-        let took = to.len() * cost(&items);
+        let used = to.len() * cost(&items);
         out.extend(to.into_iter().map(|to| Said { to, bytes: items.clone() }));
-        took.max(1)
+        used.max(1)
     }
 
-    /// A piece for one of those who asked, in turn; how many bytes it took, if there was one.
-    fn answer(&mut self, now: Micros, room: usize, out: &mut Vec<Said>) -> usize {
+    /// Sends one frame of the next answer, in rotation. Returns the bytes used, or 0 if no answer is due.
+    fn send_answer(&mut self, now: Micros, room: usize, out: &mut Vec<Said>) -> usize {
         let Some(at) = self.answers.iter().position(|answer| answer.from <= now) else { return 0 };
         let Some(mut answer) = self.answers.remove(at) else { return 0 };
-        let bytes = self.fill(now, room, &mut answer.keys);
-        let took = cost(&bytes);
+        let bytes = self.fill_frame(now, room, &mut answer.keys);
+        let used = cost(&bytes);
         if !bytes.is_empty() {
             out.push(Said { to: answer.to, bytes });
         }
         if !answer.keys.is_empty() {
             self.answers.push_back(answer);
         }
-        took
+        used
     }
 
-    /// Asks those who have told nothing yet, then others, while that brings something.
-    fn ask(&mut self, members: &Members) {
-        let mut silent = members.present();
-        // Enough have answered, and the last round brought hardly anything: what was lost on the way has come by
-        // another.
-        let enough = self.told.len() >= ASKED.min(silent.len());
-        let news = std::mem::replace(&mut self.news_at_ask, self.news_count);
-        let little = (self.news_count - news) as usize <= self.ledger.len() / WORTH_ASKING;
-        // One such round may be one whose notes were lost.
-        self.quiet = if enough && little { self.quiet + 1 } else { 0 };
-        if self.quiet >= QUIET {
-            self.asks = 0;
+    /// Requests observations, first from peers that have sent none yet, while the rounds are productive.
+    fn request_observations(&mut self, members: &Members) {
+        let mut asked = members.present();
+        // Enough peers have answered, and the last round brought hardly anything new: what was lost has arrived from other
+        // peers.
+        let enough = self.answered.len() >= PEERS_PER_ROUND.min(asked.len());
+        let updates = std::mem::replace(&mut self.updates_at_round, self.update_count);
+        let little = (self.update_count - updates) as usize <= self.table.len() / PRODUCTIVE_DIVISOR;
+        // A single unproductive round may be one whose datagrams were lost.
+        self.unproductive_rounds = if enough && little { self.unproductive_rounds + 1 } else { 0 };
+        if self.unproductive_rounds >= MAX_UNPRODUCTIVE_ROUNDS {
+            self.rounds = 0;
             return;
         }
-        // Those who have told something make room for those who have not, while there are some.
-        while silent.len() > ASKED {
-            let told = silent.iter().position(|peer| self.told.contains(peer));
-            silent.swap_remove(told.unwrap_or_else(|| self.rng.random_range(0..silent.len())));
+        // Peers that have answered are left out first, then random ones.
+        while asked.len() > PEERS_PER_ROUND {
+            let answered = asked.iter().position(|peer| self.answered.contains(peer));
+            asked.swap_remove(answered.unwrap_or_else(|| self.rng.random_range(0..asked.len())));
         }
-        let of = u8::try_from(silent.len()).unwrap_or(1);
-        for (part, peer) in (0..of).zip(silent) {
-            self.short.insert(0, (peer, Item::Ask { part, of }));
+        let of = u8::try_from(asked.len()).unwrap_or(1);
+        for (part, peer) in (0..of).zip(asked) {
+            self.requests.insert(0, (peer, Item::Request { part, of }));
         }
     }
 
-    /// Adds the first changes that have room, and leaves them on the list; how many they are.
+    /// Adds the first changes that fit, and leaves them in the queue. Returns their number.
     fn add_changes(&self, now: Micros, room: usize, items: &mut Vec<u8>) -> usize {
         self.changes.iter().take_while(|key| self.add(now, **key, room, items)).count()
     }
 
-    /// Adds a fact where it has room; one that is not believed any more adds nothing.
+    /// Adds an observation if it fits, and returns whether it did. One that is no longer believed adds nothing.
     fn add(&self, now: Micros, (destination, kind): (i64, Kind), room: usize, items: &mut Vec<u8>) -> bool {
-        let Some((fact, _)) = self.ledger.believed(now, destination, kind) else { return true };
-        let age = now.saturating_sub(fact.at).max(0);
-        let known = fact.known.shifted(-now);
-        let told = Told { destination, known, age, source: fact.source, hops: fact.hops };
-        let bytes = Item::Fact(told).encode();
+        let Some((observation, _)) = self.table.believed(now, destination, kind) else { return true };
+        let age = now.saturating_sub(observation.at).max(0);
+        let observed = observation.observed.shifted(-now);
+        let relative = RelativeObservation {
+            destination,
+            observed,
+            age,
+            source: observation.source,
+            hops: observation.hops,
+        };
+        let bytes = Item::Observation(relative).encode();
         let fits = items.len() + bytes.len() <= room;
         if fits {
             items.extend(bytes);
@@ -282,7 +313,8 @@
         fits
     }
 
-    fn fill(&self, now: Micros, room: usize, keys: &mut VecDeque<(i64, Kind)>) -> Vec<u8> {
+    /// Takes observations from the front of `keys` until the frame is full.
+    fn fill_frame(&self, now: Micros, room: usize, keys: &mut VecDeque<(i64, Kind)>) -> Vec<u8> {
         let mut items = Vec::new();
         while let Some(key) = keys.front() {
             if !self.add(now, *key, room, &mut items) {
@@ -300,42 +332,44 @@
     }
 
     fn hear(&mut self, now: Micros, from: &Sender, members: &Members, bytes: &[u8]) -> bool {
-        let Some((items, skipped)) = read(bytes) else { return false };
+        let Some((items, skipped)) = decode(bytes) else { return false };
         for item in items {
             match item {
-                Item::Fact(told) => self.fact(now, from, members, &told),
-                Item::Ask { part, of } => self.asked(now, from.peer, part, of),
+                Item::Observation(received) => self.receive_observation(now, from, members, &received),
+                Item::Request { part, of } => self.receive_request(now, from.peer, part, of),
             }
         }
         skipped == 0
     }
 
     fn say(&mut self, now: Micros, members: &Members, room: usize, allowance: usize) -> Vec<Said> {
-        if now >= self.forget_at {
-            self.forget_at = now + FORGET;
-            self.ledger.forget(now);
+        if now >= self.next_cleanup {
+            self.next_cleanup = now + CLEANUP_INTERVAL;
+            self.table.drop_stale(now);
         }
-        if self.asks > 0 && now >= self.ask_at {
-            (self.asks, self.ask_at) = (self.asks - 1, now + ASK_AGAIN);
-            self.ask(members);
+        if self.rounds > 0 && now >= self.next_round {
+            (self.rounds, self.next_round) = (self.rounds - 1, now + ROUND_INTERVAL);
+            self.request_observations(members);
         }
         let (mut out, mut left) = (Vec::new(), allowance);
-        // A piece begins only where a whole note of it is allowed; one to several peers may go beyond by theirs.
+        // A frame starts only where the allowance covers a whole datagram; one to several peers may exceed it by the copies.
         while left >= fleet::note::MOST {
-            let Some((to, item)) = (!self.short.is_empty()).then(|| self.short.remove(0)) else { break };
+            let Some((to, item)) = (!self.requests.is_empty()).then(|| self.requests.remove(0)) else {
+                break;
+            };
             let mut bytes = item.encode();
             self.add_changes(now, room, &mut bytes);
             left = left.saturating_sub(cost(&bytes));
             out.push(Said { to, bytes });
         }
-        // Who starts and what changes take turns, so that neither waits for the other's end.
+        // Answers and changes alternate, so that neither waits until all of the other are sent.
         while left >= fleet::note::MOST {
-            let answered = self.answer(now, room, &mut out);
+            let answered = self.send_answer(now, room, &mut out);
             left = left.saturating_sub(answered);
-            let told =
-                if left >= fleet::note::MOST { self.tell_changes(now, members, room, &mut out) } else { 0 };
-            left = left.saturating_sub(told);
-            if answered + told == 0 {
+            let changed =
+                if left >= fleet::note::MOST { self.send_changes(now, members, room, &mut out) } else { 0 };
+            left = left.saturating_sub(changed);
+            if answered + changed == 0 {
                 break;
             }
         }
@@ -343,30 +377,31 @@
     }
 
     fn next_at(&self, now: Micros) -> Micros {
-        let ask_at = if self.asks > 0 { self.ask_at } else { Micros::MAX };
-        let waiting = !self.changes.is_empty() || !self.short.is_empty();
+        let next_round = if self.rounds > 0 { self.next_round } else { Micros::MAX };
+        let waiting = !self.changes.is_empty() || !self.requests.is_empty();
         let answer = self.answers.iter().map(|answer| answer.from).min().unwrap_or(Micros::MAX);
         let due = if waiting { now } else { answer };
-        due.min(ask_at).min(self.forget_at).max(now)
+        due.min(next_round).min(self.next_cleanup).max(now)
     }
 }
 
-/// What a piece takes of the budget, with its part of a note's head.
+/// The bytes that a frame uses of the link's budget, with its share of the datagram's header.
 fn cost(bytes: &[u8]) -> usize {
-    const HEAD: usize = 16;
-    if bytes.is_empty() { 0 } else { bytes.len() + FRAME + HEAD }
+    const HEADER_SHARE: usize = 16;
+    if bytes.is_empty() { 0 } else { bytes.len() + FRAME + HEADER_SHARE }
 }
 
-/// Worth telling at once: trouble begun or over, and a wait that was told.
-fn changed(before: Option<&Known>, known: &Known, now: Micros) -> bool {
-    match (before, known) {
-        (Some(Known::Trouble { back: old, .. }), Known::Trouble { back, .. }) => {
-            old.is_none() && back.is_some()
-        }
-        (_, Known::Trouble { .. }) => true,
-        (Some(Known::Trouble { .. }), Known::Good { .. }) => true,
-        (Some(Known::Wait { until: old }), Known::Wait { until }) => *until > *old + SECOND / 2,
-        (None, Known::Wait { until }) => *until > now + SECOND / 2,
+/// Whether a change is sent at once: an outage that began or ended, or a new server-requested wait.
+fn is_significant(before: Option<&Observed>, observed: &Observed, now: Micros) -> bool {
+    match (before, observed) {
+        (
+            Some(Observed::Failing { recovering_since: old, .. }),
+            Observed::Failing { recovering_since, .. },
+        ) => old.is_none() && recovering_since.is_some(),
+        (_, Observed::Failing { .. }) => true,
+        (Some(Observed::Failing { .. }), Observed::Healthy { .. }) => true,
+        (Some(Observed::Wait { until: old }), Observed::Wait { until }) => *until > *old + SECOND / 2,
+        (None, Observed::Wait { until }) => *until > now + SECOND / 2,
         _ => false,
     }
 }
--- /dev/null
+++ b/crates/peers/src/standalone.rs
@@ -0,0 +1,53 @@
+//! A node with a peer link of its own, for simulations and proofs in which observations are all that relays exchange.
+
+use fleet::link::{self, Counts, Link, Out};
+use fleet::note::NoteError;
+
+use crate::node::{Config, Node};
+use crate::observation::{Micros, Observation};
+
+/// A relay's peer link and its observation channel.
+#[derive(Debug)]
+pub struct StandaloneNode {
+    /// The peer link.
+    pub link: Link,
+    /// The observation channel.
+    pub node: Node,
+}
+
+impl StandaloneNode {
+    /// Creates a relay that starts now.
+    pub fn new(link: link::Config, node: Config, now: Micros) -> Self {
+        StandaloneNode { link: Link::new(link, now), node: Node::new(node, now) }
+    }
+
+    /// Processes a datagram. Returns the observations in it that are new.
+    ///
+    /// # Errors
+    /// Why the datagram was ignored. It is counted.
+    pub fn receive(&mut self, now: Micros, bytes: &[u8]) -> Result<Vec<Observation>, NoteError> {
+        self.link.receive(now, bytes, &mut [&mut self.node])?;
+        Ok(self.node.take_updates())
+    }
+
+    /// Returns the datagrams to send now.
+    pub fn poll(&mut self, now: Micros) -> Vec<Out> {
+        self.link.poll(now, &mut [&mut self.node])
+    }
+
+    /// The time at which [`StandaloneNode::poll`] is to be called next.
+    pub fn next_at(&mut self, now: Micros) -> Micros {
+        self.link.next_at(now, &[&mut self.node]).max(now + 1000)
+    }
+
+    /// Counters of the link.
+    pub fn counts(&self) -> &Counts {
+        self.link.counts()
+    }
+
+    /// Replaces the set of peers, after a reload of the configuration.
+    pub fn replace(&mut self, peers: Vec<fleet::Peer>) {
+        self.link.replace(peers);
+        self.node.set_members(self.link.members());
+    }
+}
--- a/crates/proofs/src/tier.rs
+++ b/crates/proofs/src/tier.rs
@@ -6,9 +6,9 @@
 
 use fleet::keys::Keys;
 use fleet::link;
-use peers::alone::Alone;
-use peers::fact::{Kind, Known, Micros, Peer, SECOND};
 use peers::node::Config;
+use peers::observation::{Kind, Micros, Observed, Peer, SECOND};
+use peers::standalone::StandaloneNode;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -65,9 +65,10 @@
             asks: true,
         };
         let seed = tier.seed ^ me as u64;
-        Alone::new(link, Config { me: me as Peer, most_facts: 8192, seed, asks }, now)
+        StandaloneNode::new(link, Config { me: me as Peer, max_observations: 8192, seed, asks }, now)
     };
-    let mut nodes: Vec<(Alone, Micros)> = (0..n).map(|me| (relay(me, 1, false, START), START)).collect();
+    let mut nodes: Vec<(StandaloneNode, Micros)> =
+        (0..n).map(|me| (relay(me, 1, false, START), START)).collect();
     let mut notes: BinaryHeap<OnTheWay> = BinaryHeap::new();
     let (mut now, mut count) = (START, 0);
     let starts_at = START + 30 * SECOND;
@@ -83,7 +84,8 @@
         bytes_a_message: 0.0,
         bound_ms: 0.0,
     };
-    let sent = |nodes: &[(Alone, Micros)]| nodes.iter().map(|(node, _)| node.counts().bytes).sum::<u64>();
+    let sent =
+        |nodes: &[(StandaloneNode, Micros)]| nodes.iter().map(|(node, _)| node.counts().bytes).sum::<u64>();
     let mut started = false;
     while now < over_at {
         if now >= change_at {
@@ -104,8 +106,8 @@
                         continue;
                     }
                     let since = now - SECOND;
-                    let known = Known::Trouble { since, failures: 3, back: None };
-                    nodes[me].0.facts.observe(now, destination, known, 1.0);
+                    let known = Observed::Failing { since, failures: 3, recovering_since: None };
+                    nodes[me].0.node.observe(now, destination, known, 1.0);
                     nodes[me].1 = now;
                 }
             }
@@ -145,7 +147,7 @@
             let _ = nodes[to].0.receive(now, &bytes);
             nodes[to].1 = nodes[to].1.min(now);
             if started && to == 0 {
-                let ledger = nodes[0].0.facts.ledger();
+                let ledger = nodes[0].0.node.table();
                 let knows = |destination: &&i64| ledger.believed(now, **destination, Kind::Health).is_some();
                 let known = troubled.iter().filter(knows).count();
                 for (at, part) in [0.5, 0.9, 1.0].into_iter().enumerate() {
--- a/crates/proofs/src/warm_start.rs
+++ b/crates/proofs/src/warm_start.rs
@@ -11,9 +11,9 @@
 
 use fleet::keys::Keys;
 use fleet::{incarnation, link};
-use peers::alone::Alone;
-use peers::fact::{Known, Micros};
 use peers::node::Config;
+use peers::observation::{Micros, Observed};
+use peers::standalone::StandaloneNode;
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -394,7 +394,8 @@
         bytes_per_s: 20_000,
         asks: true,
     };
-    let mut node = Alone::new(link, Config { me, most_facts: 4096, seed: 1, asks: false }, now);
+    let mut node =
+        StandaloneNode::new(link, Config { me, max_observations: 4096, seed: 1, asks: false }, now);
     let mut lies_at = now;
     let mut buffer = [0; 512];
     loop {
@@ -403,16 +404,16 @@
             lies_at = now + 250_000;
             for destination in 1..=PARTNERS as i64 {
                 let known = match lie {
-                    Lie::Open => Known::Good { at: now },
-                    _ => Known::Trouble { since: now - 9_000_000, failures: 9, back: None },
+                    Lie::Open => Observed::Healthy { call_began: now },
+                    _ => Observed::Failing { since: now - 9_000_000, failures: 9, recovering_since: None },
                 };
                 // Told as news each time: as if it had just turned around.
                 let other = match lie {
-                    Lie::Open => Known::Trouble { since: now, failures: 2, back: None },
-                    _ => Known::Good { at: now },
+                    Lie::Open => Observed::Failing { since: now, failures: 2, recovering_since: None },
+                    _ => Observed::Healthy { call_began: now },
                 };
-                node.facts.observe(now - 1, destination, other, 4.0);
-                node.facts.observe(now, destination, known, 4.0);
+                node.node.observe(now - 1, destination, other, 4.0);
+                node.node.observe(now, destination, known, 4.0);
             }
         }
         for out in node.poll(now) {
--- a/crates/repeats/src/node.rs
+++ b/crates/repeats/src/node.rs
@@ -1,6 +1,7 @@
-//! A relay that asks for repeats and may be the keeper of some destinations' credits: who keeps what, who asked for how much,
-//! and what was answered. Owns who is taken for the keeper and whose repeat is next. It must never hand a repeat to its relay
-//! that its purse did not pay for.
+//! A relay that shares retry budgets: it requests tokens for its waiting retries, and is the budget coordinator of some
+//! destinations. It determines the coordinator of each destination and grants tokens by priority.
+//!
+//! Invariant: a retry is granted only after its token was withdrawn from this relay's budget.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,463 +14,516 @@
 use overload::waits::Waits;
 use permits::{Tiers, take, waiting};
 
-use crate::note::{CHANNEL, Item, MOST_TIERS, read};
-use crate::purse::{Counts, FLOOR, KEPT, Purse, Start, UNIT};
+use crate::budget::{
+    Counts, FLOOR_UNITS_PER_SECOND, Incarnation, RetryBudget, TOKEN_LIFETIME, UNITS_PER_TOKEN,
+};
+use crate::item::{CHANNEL, Item, MAX_PRIORITY_LEVELS, decode};
 use crate::{Micros, Peer, SECOND};
 
-/// What is not answered is said again after this, so many times in all; then its receiver is done without for a while.
-const UNANSWERED: Micros = 6 * SECOND / 100;
-const SAID: u32 = 3;
-const AVOIDED: Micros = 2 * SECOND;
-/// What still waits is said again so often, and counts for so long at the keeper.
-const SAID_AGAIN: Micros = 3 * SECOND / 10;
-const WANTS_FOR: Micros = SECOND;
-/// A relay whom no keeper answered for so long goes by its own purse.
-const PATIENCE: Micros = 4 * SECOND / 10;
-/// A gift is on its way for so long at the most; later what it was for waits still.
-const ON_ITS_WAY: Micros = 2 * SECOND / 10;
-/// While something waits the node looks at all of it so often, else so often.
-const LOOK: Micros = SECOND / 50;
-const IDLE: Micros = SECOND;
-/// Destinations that are followed at the most. Beyond them nothing is repeated.
-const MOST_DESTINATIONS: usize = 4096;
-/// What one relay may say that it gives at once, where the destination's limit is not known.
-const MOST_GIVEN: u32 = 32;
-/// Credits that come are seen at a rate of about so long.
-const INCOME_OVER: Micros = 4 * SECOND;
-
-/// What a node is given.
+/// Time after which an unanswered item is sent again, in microseconds.
+const REPLY_TIMEOUT: Micros = 6 * SECOND / 100;
+/// Number of times that an unanswered item is sent before its receiver is avoided.
+const MAX_SENDS: u32 = 3;
+/// Time for which a relay that did not answer is avoided as coordinator, in microseconds.
+const AVOIDANCE_PERIOD: Micros = 2 * SECOND;
+/// Interval at which retries that still wait are requested again, in microseconds.
+const REQUEST_INTERVAL: Micros = 3 * SECOND / 10;
+/// Time for which a request counts at the coordinator, in microseconds.
+const REQUEST_VALIDITY: Micros = SECOND;
+/// Time without an answer of any coordinator after which a relay spends its own tokens, in microseconds.
+const COORDINATOR_TIMEOUT: Micros = 4 * SECOND / 10;
+/// Longest time that granted tokens are taken to be in transit, in microseconds. Retries that are requested again after that
+/// still wait.
+const TRANSIT_TIME: Micros = 2 * SECOND / 10;
+/// Interval between checks of all destinations while retries wait, in microseconds.
+const BUSY_INTERVAL: Micros = SECOND / 50;
+/// Interval between checks of all destinations while none wait, in microseconds.
+const IDLE_INTERVAL: Micros = SECOND;
+/// Maximum number of destinations with a budget. Beyond it, nothing is retried.
+const MAX_DESTINATIONS: usize = 4096;
+/// Maximum number of tokens accepted in one transfer where the destination's rate is not known.
+const DEFAULT_MAX_TRANSFER: u32 = 32;
+/// Time constant of the moving average of tokens received, in microseconds.
+const INCOME_TIME_CONSTANT: Micros = 4 * SECOND;
+
+/// Configuration of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// This relay's number.
+    /// Number of this relay.
     pub me: Peer,
-    /// How many there are.
+    /// Number of relays in the fleet.
     pub relays: Peer,
-    /// Its start, a number that grows from one start to the next.
+    /// Number of this relay's start, which grows with each start.
     pub incarnation: u32,
 }
 
-/// Repeats that the relay may start, and how long the others wait at the least, where that is told.
+/// Retries that the relay may start, and minimum waiting times of the others.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Handed {
+pub struct TokenUpdate {
     /// The destination.
     pub destination: i64,
-    /// So many more.
-    pub repeats: u32,
-    /// By worth.
+    /// Number of further retries that may start.
+    pub retries: u32,
+    /// Minimum waiting times by priority, where they are reported.
     pub waits: Option<Waits>,
 }
 
-/// What waits at another relay.
+/// The latest request of another relay.
 #[derive(Clone, Debug)]
-struct Ask {
-    start: u32,
-    tiers: Tiers,
-    said: Micros,
-    since: Micros,
-    given: Micros,
+struct PeerRequest {
+    incarnation: u32,
+    /// Waiting retries by priority.
+    waiting: Tiers,
+    received_at: Micros,
+    waiting_since: Micros,
+    /// Time of the last grant.
+    granted_at: Micros,
 }
 
-/// A want that no keeper has answered.
+/// This relay's request that no coordinator has answered.
 #[derive(Clone, Copy, Debug)]
-struct Unanswered {
+struct UnansweredRequest {
     to: Peer,
-    at: Micros,
-    times: u32,
+    sent_at: Micros,
+    /// Number of times that it was sent to this coordinator.
+    sends: u32,
+    /// Time of the first request to any coordinator.
     since: Micros,
 }
 
-/// Credits that were given and not heard of since.
+/// A transfer that is not acknowledged yet.
 #[derive(Clone, Copy, Debug)]
-struct Gift {
-    to: Start,
-    at: Micros,
-    times: u32,
+struct UnacknowledgedTransfer {
+    to: Incarnation,
+    sent_at: Micros,
+    sends: u32,
 }
 
-/// A destination as this relay has it.
+/// State of one destination's budget at this relay.
 #[derive(Clone, Debug)]
-struct Account {
-    purse: Purse,
-    most_given: u32,
-    /// Repeats that wait at this relay, and since when.
-    wants: Tiers,
-    since: Micros,
-    unanswered: Option<Unanswered>,
-    say_at: Micros,
-    gift: Option<Gift>,
-    asks: BTreeMap<Peer, Ask>,
+struct DestinationState {
+    budget: RetryBudget,
+    /// Maximum number of tokens accepted in one transfer.
+    max_transfer: u32,
+    /// Retries that wait at this relay.
+    waiting: Tiers,
+    waiting_since: Micros,
+    unanswered: Option<UnansweredRequest>,
+    next_request_at: Micros,
+    transfer: Option<UnacknowledgedTransfer>,
+    /// Requests of other relays.
+    requests: BTreeMap<Peer, PeerRequest>,
     backlog: Backlog,
+    /// Moving average of tokens received a second, as of `income_at`.
     income: f64,
-    income_to: Micros,
+    income_at: Micros,
 }
 
-impl Account {
+impl DestinationState {
     fn new(now: Micros) -> Self {
-        Account {
-            purse: Purse::new(now),
-            most_given: MOST_GIVEN,
-            wants: Tiers::new(),
-            since: now,
+        DestinationState {
+            budget: RetryBudget::new(now),
+            max_transfer: DEFAULT_MAX_TRANSFER,
+            waiting: Tiers::new(),
+            waiting_since: now,
             unanswered: None,
-            say_at: Micros::MIN,
-            gift: None,
-            asks: BTreeMap::new(),
+            next_request_at: Micros::MIN,
+            transfer: None,
+            requests: BTreeMap::new(),
             backlog: Backlog::default(),
             income: 0.0,
-            income_to: now,
+            income_at: now,
         }
     }
 
-    /// Credits a second that came of others lately; with so many more.
-    fn income(&mut self, now: Micros, more: u32) -> f64 {
-        let span = INCOME_OVER as f64;
-        let kept = (-((now - self.income_to).max(0) as f64) / span).exp();
-        self.income = self.income * kept + f64::from(more) * SECOND as f64 / span;
-        self.income_to = self.income_to.max(now);
+    /// Adds received tokens to the moving average, and returns it in tokens a second.
+    fn income(&mut self, now: Micros, tokens: u32) -> f64 {
+        let span = INCOME_TIME_CONSTANT as f64;
+        let decay = (-((now - self.income_at).max(0) as f64) / span).exp();
+        self.income = self.income * decay + f64::from(tokens) * SECOND as f64 / span;
+        self.income_at = self.income_at.max(now);
         self.income
     }
 
-    /// Whose repeat is next: the worthiest, then who waits longest.
-    fn best(&self, now: Micros, me: Peer) -> Option<Peer> {
-        let fresh = self.asks.iter().filter(|(_, ask)| now - ask.said < WANTS_FOR);
-        let others = fresh.map(|(peer, ask)| (&ask.tiers, ask.since, *peer));
-        let all = others.chain([(&self.wants, self.since, me)]);
+    /// The relay whose retry is next: the highest priority, then the longest wait.
+    fn next_relay(&self, now: Micros, me: Peer) -> Option<Peer> {
+        let valid = self.requests.iter().filter(|(_, request)| now - request.received_at < REQUEST_VALIDITY);
+        let others = valid.map(|(peer, request)| (&request.waiting, request.waiting_since, *peer));
+        let all = others.chain([(&self.waiting, self.waiting_since, me)]);
         let best =
-            all.filter_map(|(tiers, since, peer)| Some((tiers.first()?.0, Reverse(since), peer))).max();
+            all.filter_map(|(waiting, since, peer)| Some((waiting.first()?.0, Reverse(since), peer))).max();
         best.map(|(.., peer)| peer)
     }
 
-    /// Something waits at others that ask.
-    fn asked(&self, now: Micros) -> bool {
-        self.asks.values().any(|ask| now - ask.said < WANTS_FOR && !ask.tiers.is_empty())
+    /// Whether retries wait at other relays that requested tokens.
+    fn has_requests(&self, now: Micros) -> bool {
+        self.requests
+            .values()
+            .any(|request| now - request.received_at < REQUEST_VALIDITY && !request.waiting.is_empty())
     }
 
-    /// Something waits here, at others, or for an answer.
-    fn busy(&self, now: Micros) -> bool {
-        !self.wants.is_empty() || self.gift.is_some() || self.asked(now)
+    /// Whether retries wait, here or at other relays, or a transfer is not acknowledged.
+    fn is_busy(&self, now: Micros) -> bool {
+        !self.waiting.is_empty() || self.transfer.is_some() || self.has_requests(now)
     }
 }
 
-/// For operators: a destination's credits as this relay has them.
+/// Status of one destination's budget at this relay, for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Budget {
+pub struct BudgetStatus {
     /// The destination.
     pub destination: i64,
-    /// Who keeps its credits, as this relay takes it.
-    pub keeper: Peer,
-    /// Whole credits in this relay's purse.
-    pub credits: u32,
-    /// What was counted since its start.
+    /// The relay that this one takes for the budget coordinator.
+    pub coordinator: Peer,
+    /// Number of whole tokens at this relay.
+    pub tokens: u32,
+    /// Counters since the start of this relay.
     pub counts: Counts,
-    /// Repeats that wait at this relay, and at others that ask it.
+    /// Number of retries that wait at this relay, and at others that request tokens from it.
     pub waiting: [u32; 2],
 }
 
-/// A relay among those that share repeats.
+/// A relay that shares retry budgets with others.
 #[derive(Debug)]
 pub struct Node {
     config: Config,
-    accounts: BTreeMap<i64, Account>,
-    /// Accounts in which something changed.
+    destinations: BTreeMap<i64, DestinationState>,
+    /// Destinations whose state changed since the last check.
     changed: BTreeSet<i64>,
-    look_at: Micros,
-    starts: BTreeMap<Peer, u32>,
+    /// Time of the next check of all destinations.
+    next_check: Micros,
+    /// Last known incarnation of each relay.
+    incarnations: BTreeMap<Peer, u32>,
+    /// Relays that did not answer, and the time until which they are avoided.
     avoided: BTreeMap<Peer, Micros>,
-    /// Who is to be told what it was given, and by which destination.
-    owed: BTreeSet<(Peer, i64)>,
-    out: Vec<(Peer, Item)>,
-    handed: BTreeMap<i64, Handed>,
+    /// Relays whose request is to be answered, with the destination.
+    replies_due: BTreeSet<(Peer, i64)>,
+    outgoing: Vec<(Peer, Item)>,
+    updates: BTreeMap<i64, TokenUpdate>,
 }
 
 impl Node {
-    /// A node that starts now.
+    /// Creates a node that starts now.
     pub fn new(config: Config, now: Micros) -> Self {
         Node {
             config,
-            accounts: BTreeMap::new(),
+            destinations: BTreeMap::new(),
             changed: BTreeSet::new(),
-            look_at: now,
-            starts: BTreeMap::new(),
+            next_check: now,
+            incarnations: BTreeMap::new(),
             avoided: BTreeMap::new(),
-            owed: BTreeSet::new(),
-            out: Vec::new(),
-            handed: BTreeMap::new(),
+            replies_due: BTreeSet::new(),
+            outgoing: Vec::new(),
+            updates: BTreeMap::new(),
         }
     }
 
-    fn account(&mut self, now: Micros, destination: i64) -> Option<&mut Account> {
-        if !self.accounts.contains_key(&destination) && self.accounts.len() >= MOST_DESTINATIONS {
+    /// The state of a destination, created where there is room for it.
+    fn state(&mut self, now: Micros, destination: i64) -> Option<&mut DestinationState> {
+        if !self.destinations.contains_key(&destination) && self.destinations.len() >= MAX_DESTINATIONS {
             return None;
         }
-        Some(self.accounts.entry(destination).or_insert_with(|| Account::new(now)))
+        Some(self.destinations.entry(destination).or_insert_with(|| DestinationState::new(now)))
     }
 
-    /// The directory lists a destination at this rate, in calls a second.
-    pub fn listed(&mut self, now: Micros, destination: i64, rate: f64) {
-        let seconds = (2 * KEPT / SECOND) as f64;
-        let most = (rate.max(0.0) / 10.0 + FLOOR as f64 / UNIT as f64) * seconds;
-        if let Some(account) = self.account(now, destination).filter(|_| rate > 0.0) {
-            account.most_given = (most.ceil() as u32).max(1);
+    /// Sets the listed rate of a destination, in calls a second. It limits the tokens accepted in one transfer.
+    pub fn set_rate(&mut self, now: Micros, destination: i64, rate: f64) {
+        let seconds = (2 * TOKEN_LIFETIME / SECOND) as f64;
+        let most = (rate.max(0.0) / 10.0 + FLOOR_UNITS_PER_SECOND as f64 / UNITS_PER_TOKEN as f64) * seconds;
+        if let Some(state) = self.state(now, destination).filter(|_| rate > 0.0) {
+            state.max_transfer = (most.ceil() as u32).max(1);
         }
     }
 
-    /// Another list of relays, as on a reload.
-    pub fn replaced(&mut self, relays: Peer) {
+    /// Sets the number of relays, after a reload of the configuration.
+    pub fn set_relays(&mut self, relays: Peer) {
         self.config.relays = relays;
         self.avoided.retain(|peer, _| *peer < relays);
-        self.starts.retain(|peer, _| *peer < relays);
+        self.incarnations.retain(|peer, _| *peer < relays);
     }
 
-    /// A first attempt started at this relay.
-    pub fn first(&mut self, now: Micros, destination: i64) {
-        if let Some(account) = self.account(now, destination) {
-            account.purse.first();
-            if account.purse.whole() > 0 {
+    /// Records the start of a first attempt at this relay.
+    pub fn first_attempt(&mut self, now: Micros, destination: i64) {
+        if let Some(state) = self.state(now, destination) {
+            state.budget.first_attempt();
+            if state.budget.tokens() > 0 {
                 self.changed.insert(destination);
             }
         }
     }
 
-    /// These repeats wait at this relay, beyond the ones that it may start.
-    pub fn want(&mut self, now: Micros, destination: i64, mut tiers: Tiers) {
-        tiers.truncate(MOST_TIERS);
-        if let Some(account) = self.account(now, destination) {
-            if account.wants.is_empty() {
-                account.since = now;
+    /// Sets the retries that wait at this relay, beyond those that may start.
+    pub fn request(&mut self, now: Micros, destination: i64, mut waiting: Tiers) {
+        waiting.truncate(MAX_PRIORITY_LEVELS);
+        if let Some(state) = self.state(now, destination) {
+            if state.waiting.is_empty() {
+                state.waiting_since = now;
             }
-            account.wants = tiers;
-            account.say_at = now;
+            state.waiting = waiting;
+            state.next_request_at = now;
             self.changed.insert(destination);
         }
     }
 
-    /// Repeats that the relay may start since this was last asked.
-    pub fn take_handed(&mut self) -> Vec<Handed> {
-        std::mem::take(&mut self.handed).into_values().collect()
+    /// Takes the updates since the last call.
+    pub fn take_updates(&mut self) -> Vec<TokenUpdate> {
+        std::mem::take(&mut self.updates).into_values().collect()
     }
 
-    /// What could not be handed over: it is handed over with the next.
-    pub fn not_taken(&mut self, handed: Handed) {
-        self.hand(handed.destination, handed.repeats, handed.waits);
+    /// Takes back an update that could not be delivered, and merges it into the next one.
+    pub fn return_update(&mut self, update: TokenUpdate) {
+        self.queue_update(update.destination, update.retries, update.waits);
     }
 
-    /// For operators, by destination.
-    pub fn budgets(&self, now: Micros) -> Vec<Budget> {
-        let budget = |(destination, account): (&i64, &Account)| Budget {
+    /// Status of all budgets, by destination.
+    pub fn status(&self, now: Micros) -> Vec<BudgetStatus> {
+        let status = |(destination, state): (&i64, &DestinationState)| BudgetStatus {
             destination: *destination,
-            keeper: self.keeper(now, *destination),
-            credits: account.purse.whole(),
-            counts: account.purse.counts(),
-            waiting: [waiting(&account.wants), account.asks.values().map(|ask| waiting(&ask.tiers)).sum()],
+            coordinator: self.coordinator(now, *destination),
+            tokens: state.budget.tokens(),
+            counts: state.budget.counts(),
+            waiting: [
+                waiting(&state.waiting),
+                state.requests.values().map(|request| waiting(&request.waiting)).sum(),
+            ],
         };
-        self.accounts.iter().map(budget).collect()
+        self.destinations.iter().map(status).collect()
     }
 
-    /// The nearest relay, the avoided ones last.
-    fn keeper(&self, now: Micros, destination: i64) -> Peer {
+    /// The budget coordinator: the relay that rendezvous hashing selects, with avoided relays last.
+    fn coordinator(&self, now: Micros, destination: i64) -> Peer {
         let avoided = |peer: Peer| self.avoided.get(&peer).is_some_and(|until| now < *until);
         nearest(destination, self.config.relays, avoided).unwrap_or(self.config.me)
     }
 
-    fn hand(&mut self, destination: i64, repeats: u32, waits: Option<Waits>) {
-        let handed =
-            self.handed.entry(destination).or_insert(Handed { destination, repeats: 0, waits: None });
-        handed.repeats += repeats;
-        handed.waits = waits.or(handed.waits.take());
+    fn queue_update(&mut self, destination: i64, retries: u32, waits: Option<Waits>) {
+        let update =
+            self.updates.entry(destination).or_insert(TokenUpdate { destination, retries: 0, waits: None });
+        update.retries += retries;
+        update.waits = waits.or(update.waits.take());
     }
 
-    /// Pays for repeats that wait here out of this relay's purse, so many at the most.
-    fn pay(&mut self, destination: i64, most: u32) {
-        let Some(account) = self.accounts.get_mut(&destination) else { return };
-        let mut paid = 0;
-        while paid < most && !account.wants.is_empty() && account.purse.spend(1) {
-            take(&mut account.wants);
-            paid += 1;
+    /// Spends this relay's tokens on retries that wait here, at most `max` of them.
+    fn spend_on_waiting(&mut self, destination: i64, max: u32) {
+        let Some(state) = self.destinations.get_mut(&destination) else { return };
+        let mut spent = 0;
+        while spent < max && !state.waiting.is_empty() && state.budget.spend(1) {
+            take(&mut state.waiting);
+            spent += 1;
         }
-        if paid > 0 {
-            self.hand(destination, paid, None);
+        if spent > 0 {
+            self.queue_update(destination, spent, None);
         }
     }
 
-    fn look(&mut self, now: Micros, destination: i64) {
+    /// Grants tokens as the coordinator of a destination; otherwise requests and transfers tokens.
+    fn check(&mut self, now: Micros, destination: i64) {
         let (me, relays) = (self.config.me, self.config.relays);
-        let keeper = self.keeper(now, destination);
-        let Some(account) = self.accounts.get_mut(&destination) else { return };
-        account.purse.pass(now, relays);
-        if keeper == me {
-            account.unanswered = None;
+        let coordinator = self.coordinator(now, destination);
+        let Some(state) = self.destinations.get_mut(&destination) else { return };
+        state.budget.advance(now, relays);
+        if coordinator == me {
+            state.unanswered = None;
         }
-        // Whoever is asked answers with what it has, also where it takes another for the keeper.
-        if keeper == me || account.asked(now) {
-            self.keep(now, destination);
+        // A relay that receives a request grants what it has, even where it takes another one for the coordinator.
+        if coordinator == me || state.has_requests(now) {
+            self.grant(now, destination);
         }
-        let Some(account) = self.accounts.get_mut(&destination).filter(|_| keeper != me) else { return };
-        let patient = account.unanswered.is_none_or(|asked| now - asked.since < PATIENCE);
-        if !patient {
-            self.pay(destination, u32::MAX);
+        let Some(state) = self.destinations.get_mut(&destination).filter(|_| coordinator != me) else {
+            return;
+        };
+        let within_timeout = state.unanswered.is_none_or(|request| now - request.since < COORDINATOR_TIMEOUT);
+        if !within_timeout {
+            self.spend_on_waiting(destination, u32::MAX);
         }
-        self.ask(now, destination, keeper);
-        if patient {
-            self.give(now, destination, keeper);
+        self.send_request(now, destination, coordinator);
+        if within_timeout {
+            self.transfer(now, destination, coordinator);
         }
     }
 
-    /// Asks the keeper for what waits here.
-    fn ask(&mut self, now: Micros, destination: i64, keeper: Peer) {
-        let start = self.starts.get(&keeper).copied();
-        let Some(account) = self.accounts.get_mut(&destination) else { return };
-        // Whom this relay never heard it asks whether it is there, before it gives it anything.
-        let asks = !account.wants.is_empty() || start.is_none() && account.purse.whole() > 0;
-        if !asks {
-            account.unanswered = None;
+    /// Requests tokens from the coordinator for the retries that wait here.
+    fn send_request(&mut self, now: Micros, destination: i64, coordinator: Peer) {
+        let incarnation = self.incarnations.get(&coordinator).copied();
+        let Some(state) = self.destinations.get_mut(&destination) else { return };
+        // A coordinator that was never heard from is asked whether it is reachable, before tokens are transferred to it.
+        let requests = !state.waiting.is_empty() || incarnation.is_none() && state.budget.tokens() > 0;
+        if !requests {
+            state.unanswered = None;
             return;
         }
-        let mut asked = account.unanswered.unwrap_or(Unanswered { to: keeper, at: 0, times: 0, since: now });
-        if asked.to != keeper {
-            asked = Unanswered { to: keeper, at: 0, times: 0, since: asked.since };
+        let mut request = state.unanswered.unwrap_or(UnansweredRequest {
+            to: coordinator,
+            sent_at: 0,
+            sends: 0,
+            since: now,
+        });
+        if request.to != coordinator {
+            request = UnansweredRequest { to: coordinator, sent_at: 0, sends: 0, since: request.since };
         }
-        let again = asked.times > 0 && now - asked.at >= UNANSWERED;
-        if again && asked.times >= SAID {
-            self.avoided.insert(keeper, now + AVOIDED);
+        let again = request.sends > 0 && now - request.sent_at >= REPLY_TIMEOUT;
+        if again && request.sends >= MAX_SENDS {
+            self.avoided.insert(coordinator, now + AVOIDANCE_PERIOD);
             self.changed.insert(destination);
             return;
         }
-        if again || account.say_at <= now && asked.times == 0 {
-            account.unanswered = Some(Unanswered { at: now, times: asked.times + 1, ..asked });
-            account.say_at = now + SAID_AGAIN;
-            let had = start.map_or(0, |start| account.purse.had_of((keeper, start)));
-            let item = Item::Want { destination, had, tiers: account.wants.clone() };
-            self.out.push((keeper, item));
+        if again || state.next_request_at <= now && request.sends == 0 {
+            state.unanswered = Some(UnansweredRequest { sent_at: now, sends: request.sends + 1, ..request });
+            state.next_request_at = now + REQUEST_INTERVAL;
+            let received =
+                incarnation.map_or(0, |incarnation| state.budget.received_from((coordinator, incarnation)));
+            let item = Item::Request { destination, received, waiting: state.waiting.clone() };
+            self.outgoing.push((coordinator, item));
         }
     }
 
-    /// Gives the keeper the whole credits that this relay has.
-    fn give(&mut self, now: Micros, destination: i64, keeper: Peer) {
-        let start = self.starts.get(&keeper).copied();
-        let Some(account) = self.accounts.get_mut(&destination) else { return };
-        if let Some(gift) = account.gift.filter(|gift| now - gift.at >= UNANSWERED) {
-            if gift.times >= SAID {
-                // What it was given is its own, or nobody's.
-                account.gift = None;
-                self.avoided.insert(gift.to.0, now + AVOIDED);
+    /// Transfers this relay's whole tokens to the coordinator, and repeats a transfer that is not acknowledged.
+    fn transfer(&mut self, now: Micros, destination: i64, coordinator: Peer) {
+        let incarnation = self.incarnations.get(&coordinator).copied();
+        let Some(state) = self.destinations.get_mut(&destination) else { return };
+        if let Some(transfer) = state.transfer.filter(|transfer| now - transfer.sent_at >= REPLY_TIMEOUT) {
+            if transfer.sends >= MAX_SENDS {
+                // The receiver has the tokens, or they are lost.
+                state.transfer = None;
+                self.avoided.insert(transfer.to.0, now + AVOIDANCE_PERIOD);
                 self.changed.insert(destination);
                 return;
             }
-            account.gift = Some(Gift { at: now, times: gift.times + 1, ..gift });
-            let total = account.purse.given_to(gift.to);
-            self.out.push((gift.to.0, Item::Gift { destination, start: gift.to.1, total, answers: false }));
+            state.transfer =
+                Some(UnacknowledgedTransfer { sent_at: now, sends: transfer.sends + 1, ..transfer });
+            let total = state.budget.given_to(transfer.to);
+            self.outgoing.push((
+                transfer.to.0,
+                Item::Transfer { destination, incarnation: transfer.to.1, total, is_reply: false },
+            ));
         }
-        let whole = account.purse.whole();
-        if account.gift.is_none()
-            && whole > 0
-            && let Some(start) = start
-            && let Some(total) = account.purse.give((keeper, start), whole)
+        let tokens = state.budget.tokens();
+        if state.transfer.is_none()
+            && tokens > 0
+            && let Some(incarnation) = incarnation
+            && let Some(total) = state.budget.give((coordinator, incarnation), tokens)
         {
-            account.gift = Some(Gift { to: (keeper, start), at: now, times: 1 });
-            self.out.push((keeper, Item::Gift { destination, start, total, answers: false }));
+            state.transfer =
+                Some(UnacknowledgedTransfer { to: (coordinator, incarnation), sent_at: now, sends: 1 });
+            self.outgoing
+                .push((coordinator, Item::Transfer { destination, incarnation, total, is_reply: false }));
         }
     }
 
-    /// As the keeper, gives credits to the worthiest repeats.
-    fn keep(&mut self, now: Micros, destination: i64) {
+    /// Grants this relay's tokens, as a coordinator, to the waiting retries of highest priority.
+    fn grant(&mut self, now: Micros, destination: i64) {
         let me = self.config.me;
-        let Some(account) = self.accounts.get_mut(&destination) else { return };
-        let wants = account.wants.clone();
-        account.backlog.says(now, me, &wants);
+        let Some(state) = self.destinations.get_mut(&destination) else { return };
+        let waiting = state.waiting.clone();
+        state.backlog.says(now, me, &waiting);
         let mut own = 0;
-        while account.purse.whole() > 0
-            && let Some(peer) = account.best(now, me)
+        while state.budget.tokens() > 0
+            && let Some(peer) = state.next_relay(now, me)
         {
-            account.backlog.starts(now, peer);
+            state.backlog.starts(now, peer);
             if peer == me {
-                account.purse.spend(1);
-                take(&mut account.wants);
-                account.since = now;
+                state.budget.spend(1);
+                take(&mut state.waiting);
+                state.waiting_since = now;
                 own += 1;
-            } else if let Some(ask) = account.asks.get_mut(&peer) {
-                take(&mut ask.tiers);
-                if account.purse.give((peer, ask.start), 1).is_none() {
+            } else if let Some(request) = state.requests.get_mut(&peer) {
+                take(&mut request.waiting);
+                if state.budget.give((peer, request.incarnation), 1).is_none() {
                     break;
                 }
-                (ask.since, ask.given) = (now, now);
-                self.owed.insert((peer, destination));
+                (request.waiting_since, request.granted_at) = (now, now);
+                self.replies_due.insert((peer, destination));
             }
         }
-        let waits = (!account.wants.is_empty()).then(|| self.waits(now, destination, me));
+        let waits = (!state.waiting.is_empty()).then(|| self.waits(now, destination, me));
         if own > 0 || waits.as_ref().is_some_and(|waits| !waits.is_none()) {
-            self.hand(destination, own, waits);
+            self.queue_update(destination, own, waits);
         }
     }
 
-    /// How long repeats wait at the least, as a relay is told it: at the rate at which credits come.
-    fn waits(&mut self, now: Micros, destination: i64, who: Peer) -> Waits {
+    /// Minimum waiting times of a relay's retries, at the rate at which tokens come in.
+    fn waits(&mut self, now: Micros, destination: i64, peer: Peer) -> Waits {
         let relays = f64::from(self.config.relays.max(1));
-        let Some(account) = self.accounts.get_mut(&destination) else { return Waits::default() };
-        let rate = account.income(now, 0) + FLOOR as f64 / UNIT as f64 / relays;
-        account.backlog.waits(now, who, Some(rate))
+        let Some(state) = self.destinations.get_mut(&destination) else { return Waits::default() };
+        let rate = state.income(now, 0) + FLOOR_UNITS_PER_SECOND as f64 / UNITS_PER_TOKEN as f64 / relays;
+        state.backlog.waits(now, peer, Some(rate))
     }
 
-    fn item(&mut self, now: Micros, from: &Sender, item: Item) {
-        let (me, here) = ((from.peer, from.incarnation), self.config.incarnation);
+    /// Processes an item of another relay.
+    fn receive_item(&mut self, now: Micros, from: &Sender, item: Item) {
+        let (sender, own_incarnation) = ((from.peer, from.incarnation), self.config.incarnation);
         match item {
-            Item::Want { destination, had, tiers } => {
-                let Some(account) = self.account(now, destination) else { return };
-                let total = account.purse.given_to(me);
-                let asks = account.asks.entry(from.peer);
-                let fresh = Ask { start: me.1, tiers: Tiers::new(), said: now, since: now, given: 0 };
-                let ask = asks.or_insert(fresh);
-                if ask.tiers.is_empty() || now - ask.said >= WANTS_FOR || ask.start != me.1 {
-                    ask.since = now;
+            Item::Request { destination, received, waiting } => {
+                let Some(state) = self.state(now, destination) else { return };
+                let total = state.budget.given_to(sender);
+                let requests = state.requests.entry(from.peer);
+                let new = PeerRequest {
+                    incarnation: sender.1,
+                    waiting: Tiers::new(),
+                    received_at: now,
+                    waiting_since: now,
+                    granted_at: 0,
+                };
+                let request = requests.or_insert(new);
+                if request.waiting.is_empty()
+                    || now - request.received_at >= REQUEST_VALIDITY
+                    || request.incarnation != sender.1
+                {
+                    request.waiting_since = now;
                 }
-                (ask.start, ask.tiers, ask.said) = (me.1, tiers, now);
-                if now - ask.given < ON_ITS_WAY {
-                    (0..total.saturating_sub(had)).for_each(|_| take(&mut ask.tiers));
+                (request.incarnation, request.waiting, request.received_at) = (sender.1, waiting, now);
+                // Tokens that are still in transit serve part of the request.
+                if now - request.granted_at < TRANSIT_TIME {
+                    (0..total.saturating_sub(received)).for_each(|_| take(&mut request.waiting));
                 }
-                let tiers = ask.tiers.clone();
-                account.backlog.says(now, from.peer, &tiers);
-                self.owed.insert((from.peer, destination));
+                let waiting = request.waiting.clone();
+                state.backlog.says(now, from.peer, &waiting);
+                self.replies_due.insert((from.peer, destination));
                 self.changed.insert(destination);
             }
-            Item::Gift { destination, start, total, answers } if start == here => {
-                let Some(account) = self.account(now, destination) else { return };
-                let most = account.most_given;
-                let new = account.purse.had(me, total, most);
-                account.income(now, new);
-                if answers {
-                    account.unanswered = None;
-                    self.pay(destination, new);
+            Item::Transfer { destination, incarnation, total, is_reply }
+                if incarnation == own_incarnation =>
+            {
+                let Some(state) = self.state(now, destination) else { return };
+                let max = state.max_transfer;
+                let new = state.budget.receive(sender, total, max);
+                state.income(now, new);
+                if is_reply {
+                    state.unanswered = None;
+                    self.spend_on_waiting(destination, new);
                 } else {
-                    let total = account.purse.had_of(me);
-                    self.out.push((from.peer, Item::Had { destination, total }));
+                    let total = state.budget.received_from(sender);
+                    self.outgoing.push((from.peer, Item::Received { destination, total }));
                 }
                 self.changed.insert(destination);
             }
-            // It was for an earlier process of this relay, and is nobody's.
-            Item::Gift { .. } => {}
-            Item::Had { destination, total } => {
-                let Some(account) = self.accounts.get_mut(&destination) else { return };
-                account.gift.take_if(|gift| gift.to == me && total >= account.purse.given_to(me));
+            // Tokens for an earlier incarnation of this relay are lost.
+            Item::Transfer { .. } => {}
+            Item::Received { destination, total } => {
+                let Some(state) = self.destinations.get_mut(&destination) else { return };
+                state
+                    .transfer
+                    .take_if(|transfer| transfer.to == sender && total >= state.budget.given_to(sender));
             }
             Item::Waits { destination, levels } => {
-                if self.accounts.contains_key(&destination) {
-                    self.hand(destination, 0, Some(Waits::told(levels)));
+                if self.destinations.contains_key(&destination) {
+                    self.queue_update(destination, 0, Some(Waits::told(levels)));
                 }
             }
         }
     }
 
-    /// Tells those who asked what they were given, and how long the rest waits.
-    fn answer(&mut self, now: Micros) {
-        for (peer, destination) in std::mem::take(&mut self.owed) {
-            let Some(start) = self.starts.get(&peer).copied() else { continue };
-            let Some(account) = self.accounts.get(&destination) else { continue };
-            let total = account.purse.given_to((peer, start));
-            let waits = account.asks.get(&peer).is_some_and(|ask| !ask.tiers.is_empty());
-            self.out.push((peer, Item::Gift { destination, start, total, answers: true }));
+    /// Answers requests with the tokens granted and the minimum waiting times of the remaining retries.
+    fn send_replies(&mut self, now: Micros) {
+        for (peer, destination) in std::mem::take(&mut self.replies_due) {
+            let Some(incarnation) = self.incarnations.get(&peer).copied() else { continue };
+            let Some(state) = self.destinations.get(&destination) else { continue };
+            let total = state.budget.given_to((peer, incarnation));
+            let waits = state.requests.get(&peer).is_some_and(|request| !request.waiting.is_empty());
+            self.outgoing.push((peer, Item::Transfer { destination, incarnation, total, is_reply: true }));
             let waits = if waits { self.waits(now, destination, peer) } else { Waits::default() };
             if !waits.is_none() {
-                self.out.push((peer, Item::Waits { destination, levels: waits.levels().to_vec() }));
+                self.outgoing.push((peer, Item::Waits { destination, levels: waits.levels().to_vec() }));
             }
         }
     }
@@ -480,35 +534,36 @@
         CHANNEL
     }
 
-    /// A repeat waits for it; what it costs is bound by first attempts, wants and gifts.
+    /// Not limited by the link's byte budget: retries wait for these items, and their number is limited by first attempts,
+    /// requests and transfers.
     fn bound(&self) -> bool {
         false
     }
 
     fn hear(&mut self, now: Micros, from: &Sender, _: &Members, bytes: &[u8]) -> bool {
         self.avoided.remove(&from.peer);
-        self.starts.insert(from.peer, from.incarnation);
-        let (items, made_sense) = read(bytes);
-        items.into_iter().for_each(|item| self.item(now, from, item));
-        made_sense
+        self.incarnations.insert(from.peer, from.incarnation);
+        let (items, valid) = decode(bytes);
+        items.into_iter().for_each(|item| self.receive_item(now, from, item));
+        valid
     }
 
     fn say(&mut self, now: Micros, _: &Members, room: usize, _: usize) -> Vec<Said> {
         let mut due = std::mem::take(&mut self.changed);
-        if now >= self.look_at {
-            due.extend(self.accounts.keys());
-            self.look_at = now + IDLE;
+        if now >= self.next_check {
+            due.extend(self.destinations.keys());
+            self.next_check = now + IDLE_INTERVAL;
         }
-        let busy = due.iter().any(|id| self.accounts.get(id).is_some_and(|account| account.busy(now)));
-        due.into_iter().for_each(|destination| self.look(now, destination));
+        let busy = due.iter().any(|id| self.destinations.get(id).is_some_and(|state| state.is_busy(now)));
+        due.into_iter().for_each(|destination| self.check(now, destination));
         if busy {
-            self.look_at = self.look_at.min(now + LOOK);
+            self.next_check = self.next_check.min(now + BUSY_INTERVAL);
         }
-        self.answer(now);
-        frame::pack(self.out.drain(..).map(|(to, item)| (to, item.encode())), room)
+        self.send_replies(now);
+        frame::pack(self.outgoing.drain(..).map(|(to, item)| (to, item.encode())), room)
     }
 
     fn next_at(&self, now: Micros) -> Micros {
-        if self.out.is_empty() && self.owed.is_empty() { self.look_at.max(now) } else { now }
+        if self.outgoing.is_empty() && self.replies_due.is_empty() { self.next_check.max(now) } else { now }
     }
 }
--- a/crates/scale/src/run/relay.rs
+++ b/crates/scale/src/run/relay.rs
@@ -7,7 +7,7 @@
 use fleet::members::Members;
 use fleet::{Peer, incarnation};
 use peers::node::Node as Facts;
-use peers::witness::{Seen, Witness};
+use peers::observer::{ObservedCall, Observer};
 use permits::node::{Given, Node as Permits};
 use permits::steward::{Cold, Report};
 use permits::{Sharing, Tiers};
@@ -136,7 +136,7 @@
 pub(super) struct Relay {
     pub(super) link: Link,
     pub(super) permits: Option<Permits>,
-    pub(super) facts: Option<(Facts, Witness)>,
+    pub(super) facts: Option<(Facts, Observer)>,
     pub(super) turns: Option<Turns>,
     strain_at: Micros,
     setup: Rc<Setup>,
@@ -168,8 +168,8 @@
             permits
         });
         let facts = setup.observes.then(|| {
-            let config = peers::node::Config { me, most_facts: MOST_FACTS, seed, asks: kept.is_some() };
-            (Facts::new(config, now), Witness::default())
+            let config = peers::node::Config { me, max_observations: MOST_FACTS, seed, asks: kept.is_some() };
+            (Facts::new(config, now), Observer::default())
         });
         let turns = setup.terms.clone().map(|terms| {
             let config = turns::node::Config { me, incarnation, terms };
@@ -192,8 +192,8 @@
             let _ = self.with_channels(&setup.meter, |link, channels| link.receive(now, bytes, channels));
             if let Some((facts, _)) = &mut self.facts {
                 setup.meter.within(Core::Observations, || {
-                    let news = facts.take_news();
-                    news.iter().filter(|fact| facts.ledger().heeded(now, fact).is_some()).count()
+                    let news = facts.take_updates();
+                    news.iter().filter(|fact| facts.table().actionable(now, fact).is_some()).count()
                 });
             }
         });
@@ -209,7 +209,7 @@
     }
 
     /// A call ended.
-    pub(super) fn ended(&mut self, now: Micros, report: &Report, seen: &Seen) {
+    pub(super) fn ended(&mut self, now: Micros, report: &Report, seen: &ObservedCall) {
         let meter = &self.setup.meter;
         meter.call(|| {
             if let Some(permits) = &mut self.permits {
@@ -217,7 +217,7 @@
             }
             if let Some((facts, witness)) = &mut self.facts {
                 meter.within(Core::Observations, || {
-                    let (known, traffic) = witness.saw(seen);
+                    let (known, traffic) = witness.call_ended(seen);
                     for known in known {
                         facts.observe(now, seen.destination, known, traffic);
                     }
--- a/crates/scale/src/run/simulation/calls.rs
+++ b/crates/scale/src/run/simulation/calls.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use fleet::Peer;
-use peers::witness::{Seen, Sign as SeenSign};
+use peers::observer::{CallSignal, ObservedCall};
 use permits::note::Sign;
 use permits::steward::Report;
 
@@ -55,13 +55,18 @@
         if !lost {
             machine.work.ended(destination, answer == Answer::Well);
             let (sign, seen) = match answer {
-                Answer::Well => (Sign::Well, SeenSign::Well),
-                Answer::Failed => (Sign::Failed, SeenSign::Failed),
-                Answer::Refused => (Sign::Refused, SeenSign::Refused(None)),
+                Answer::Well => (Sign::Well, CallSignal::Success),
+                Answer::Failed => (Sign::Failed, CallSignal::Failure),
+                Answer::Refused => (Sign::Refused, CallSignal::Refused(None)),
             };
             let report = Report { sign, began, wait: None, limit: None, left: None };
-            let seen =
-                Seen { destination: i64::from(destination), began, ended: now, sign: seen, limit: None };
+            let seen = ObservedCall {
+                destination: i64::from(destination),
+                began,
+                ended: now,
+                signal: seen,
+                limit: None,
+            };
             if let Some(relay) = &mut machine.relay {
                 relay.ended(now, &report, &seen);
             }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -22,7 +22,7 @@
 use ::fleet::note::NoteError;
 use ::fleet::{Peer, incarnation};
 use peers::node::Node as Facts;
-use peers::witness::Witness;
+use peers::observer::Observer;
 use permits::steward::Cold;
 use permits::{Sharing, earlier, node as permit};
 use repeats::node as repeat;
@@ -112,7 +112,7 @@
     link: Link,
     permits: Option<permit::Node>,
     repeats: Option<repeat::Node>,
-    facts: Option<(Facts, Witness, Snapshot)>,
+    facts: Option<(Facts, Observer, Snapshot)>,
     turning: Option<Turning>,
     distribution: Option<Distribution>,
     cuts: Cuts,
@@ -183,14 +183,14 @@
     let repeats = setup.repeats.then(|| repeat::Node::new(config, now));
     let mut kept = Vec::new();
     let facts = setup.facts.as_ref().map(|how| {
-        let config = peers::node::Config { me: setup.me, most_facts: MOST_FACTS, seed, asks: how.warm };
+        let config = peers::node::Config { me: setup.me, max_observations: MOST_FACTS, seed, asks: how.warm };
         let mut facts = Facts::new(config, now);
         let snapshot = Snapshot::new(state, room, now);
         if how.warm {
             snapshot.read().into_iter().for_each(|fact| facts.restore(now, link.members(), fact));
         }
-        kept = facts.ledger().acted_on(now).filter_map(|fact| hearsay(&fact)).collect();
-        (facts, Witness::default(), snapshot)
+        kept = facts.table().all_actionable(now).filter_map(|fact| hearsay(&fact)).collect();
+        (facts, Observer::default(), snapshot)
     });
     let turning = setup
         .turns
@@ -225,7 +225,7 @@
 /// The channels that there are, the most urgent first.
 fn channels<'a>(
     permits: &'a mut Option<permit::Node>, repeats: &'a mut Option<repeat::Node>,
-    facts: &'a mut Option<(Facts, Witness, Snapshot)>, turning: &'a mut Option<Turning>,
+    facts: &'a mut Option<(Facts, Observer, Snapshot)>, turning: &'a mut Option<Turning>,
     distribution: &'a mut Option<Distribution>,
 ) -> Vec<&'a mut dyn Channel> {
     let permits = permits.iter_mut().map(|permits| permits as &mut dyn Channel);
@@ -262,7 +262,7 @@
                 ),
             );
             if let Some((facts, _, snapshot)) = &mut self.facts {
-                snapshot.keep_if_due(now, facts.ledger());
+                snapshot.keep_if_due(now, facts.table());
                 next = next.min(snapshot.due());
             }
             if let Some(distribution) = &mut self.distribution {
@@ -330,12 +330,12 @@
                 let _ = self.inputs.try_send(Input::Waits(destination, waits));
             }
         }
-        for handed in self.repeats.iter_mut().flat_map(repeat::Node::take_handed).collect::<Vec<_>>() {
+        for handed in self.repeats.iter_mut().flat_map(repeat::Node::take_updates).collect::<Vec<_>>() {
             // What the relay is behind with is handed over later: nobody else has it.
             if let (Err(TrySendError::Full(Input::Repeats(handed))), Some(repeats)) =
                 (self.inputs.try_send(Input::Repeats(handed)), &mut self.repeats)
             {
-                repeats.not_taken(handed);
+                repeats.return_update(handed);
             }
         }
         if let Some(distribution) = &mut self.distribution {
@@ -354,24 +354,24 @@
             ToFleet::Listed(listed) => {
                 for (destination, rate) in listed {
                     self.permits.iter_mut().for_each(|permits| permits.listed(destination, rate));
-                    self.repeats.iter_mut().for_each(|repeats| repeats.listed(now, destination, rate));
+                    self.repeats.iter_mut().for_each(|repeats| repeats.set_rate(now, destination, rate));
                 }
             }
             ToFleet::Want(destination, tiers) => {
                 self.permits.iter_mut().for_each(|permits| permits.want(now, destination, tiers.clone()));
             }
             ToFleet::First(destination) => {
-                self.repeats.iter_mut().for_each(|repeats| repeats.first(now, destination));
+                self.repeats.iter_mut().for_each(|repeats| repeats.first_attempt(now, destination));
             }
             ToFleet::WantRepeats(destination, tiers) => {
-                self.repeats.iter_mut().for_each(|repeats| repeats.want(now, destination, tiers.clone()));
+                self.repeats.iter_mut().for_each(|repeats| repeats.request(now, destination, tiers.clone()));
             }
             ToFleet::Ended { destination, report, seen } => {
                 if let (Some(permits), Some(report)) = (&mut self.permits, report) {
                     permits.report(now, destination, &report);
                 }
                 if let Some((facts, witness, snapshot)) = &mut self.facts {
-                    let (known, traffic) = witness.saw(&seen);
+                    let (known, traffic) = witness.call_ended(&seen);
                     for known in known {
                         if facts.observe(seen.ended, destination, known, traffic) {
                             snapshot.soon(seen.ended);
@@ -399,11 +399,11 @@
             return permits.hear_earlier(now, bytes, self.link.keys());
         }
         if let Some((facts, _, snapshot)) = &mut self.facts {
-            let news = facts.take_news();
-            if news.iter().any(|fact| fact.known.differs(now) >= 1.0) {
+            let news = facts.take_updates();
+            if news.iter().any(|fact| fact.observed.impact(now) >= 1.0) {
                 snapshot.soon(now);
             }
-            let heeded = news.iter().filter_map(|fact| facts.ledger().heeded(now, fact));
+            let heeded = news.iter().filter_map(|fact| facts.table().actionable(now, fact));
             for hearsay in heeded.filter_map(|fact| hearsay(&fact)) {
                 // A relay that is behind with its work hears less of others.
                 let _ = self.inputs.try_send(Input::Told(hearsay));
@@ -425,9 +425,9 @@
         let relays = count(&self.setup.all);
         self.link.replace(self.setup.peers());
         self.permits.iter_mut().for_each(|permits| permits.replaced(relays));
-        self.repeats.iter_mut().for_each(|repeats| repeats.replaced(relays));
+        self.repeats.iter_mut().for_each(|repeats| repeats.set_relays(relays));
         if let Some((facts, ..)) = &mut self.facts {
-            facts.replaced(self.link.members());
+            facts.set_members(self.link.members());
         }
         self.turning.iter_mut().for_each(|turning| turning.replaced(relays));
         info!("{} relays in all", self.setup.all.len());
--- a/src/fleet/show.rs
+++ b/src/fleet/show.rs
@@ -2,8 +2,8 @@
 
 use ::fleet::Peer;
 use ::fleet::members::Member;
-use peers::fact::Fact;
 use peers::node::Node as Facts;
+use peers::observation::Observation;
 use permits::node as permit;
 use repeats::node as repeat;
 use serde_json::{Map, Value, json};
@@ -17,14 +17,14 @@
     let facts = shell.facts.as_ref().map(|(facts, ..)| facts);
     let members = shell.link.members().all();
     let peers: Vec<Value> = members.map(|(peer, member)| show_peer(now, peer, &member, facts)).collect();
-    let known = facts.into_iter().flat_map(|facts| facts.ledger().all(now));
+    let known = facts.into_iter().flat_map(|facts| facts.table().all(now));
     let known: Vec<Value> = known.map(|known| show_fact(now, &known)).collect();
     let permits = shell.permits.iter();
     let shares: Vec<Value> =
         permits.clone().flat_map(|permits| permits.shares(now)).map(show_share).collect();
     let queues = permits.flat_map(|permits| permits.queues(now));
     let queues: Vec<Value> = queues.map(|queue| cuts::show(&queue)).collect();
-    let budgets = shell.repeats.iter().flat_map(|repeats| repeats.budgets(now));
+    let budgets = shell.repeats.iter().flat_map(|repeats| repeats.status(now));
     let budgets: Vec<Value> = budgets.map(show_budget).collect();
     let counts = shell.link.counts();
     let ignored: Map<String, Value> =
@@ -42,7 +42,7 @@
         "taken": counts.taken,
         "ignored": ignored,
         "skipped": counts.skipped,
-        "news": facts.map_or(0, Facts::news_count),
+        "news": facts.map_or(0, Facts::update_count),
     })
 }
 
@@ -53,11 +53,11 @@
 fn show_peer(now: Micros, peer: Peer, member: &Member, facts: Option<&Facts>) -> Value {
     json!({"peer": peer, "standing": format!("{:?}", member.standing).to_lowercase(),
         "incarnation": member.incarnation, "heard_s_ago": member.heard.map(|at| seconds_ago(now, at)),
-        "trust": facts.map(|facts| facts.ledger().trust.of(peer))})
+        "trust": facts.map(|facts| facts.table().trust.of(peer))})
 }
 
-fn show_fact(now: Micros, (fact, weight): &(Fact, f64)) -> Value {
-    json!({"destination": fact.destination, "known": fact.known, "seen_s_ago": seconds_ago(now, fact.at),
+fn show_fact(now: Micros, (fact, weight): &(Observation, f64)) -> Value {
+    json!({"destination": fact.destination, "known": fact.observed, "seen_s_ago": seconds_ago(now, fact.at),
         "by": fact.source, "hops": fact.hops, "weight": weight})
 }
 
@@ -66,8 +66,8 @@
         "lent": share.lent, "of": share.of, "sliced": share.sliced})
 }
 
-fn show_budget(budget: repeat::Budget) -> Value {
-    let repeat::Budget { destination, keeper, credits, counts, waiting: [here, asked] } = budget;
-    json!({"destination": destination, "keeper": keeper, "credits": credits, "firsts": counts.firsts,
-        "spent": counts.spent, "given": counts.given, "had": counts.had, "waiting": here, "asked": asked})
+fn show_budget(budget: repeat::BudgetStatus) -> Value {
+    let repeat::BudgetStatus { destination, coordinator, tokens, counts, waiting: [here, asked] } = budget;
+    json!({"destination": destination, "keeper": coordinator, "credits": tokens, "firsts": counts.first_attempts,
+        "spent": counts.spent, "given": counts.given, "had": counts.received, "waiting": here, "asked": asked})
 }
--- a/src/fleet/snapshot.rs
+++ b/src/fleet/snapshot.rs
@@ -3,8 +3,8 @@
 
 use std::path::{Path, PathBuf};
 
-use peers::fact::Fact;
-use peers::ledger::Ledger;
+use peers::observation::Observation;
+use peers::table::ObservationTable;
 
 use super::kept;
 use crate::interface::Micros;
@@ -30,7 +30,7 @@
     }
 
     /// What an earlier process kept.
-    pub(super) fn read(&self) -> Vec<Fact> {
+    pub(super) fn read(&self) -> Vec<Observation> {
         kept::read(&self.file)
     }
 
@@ -45,14 +45,14 @@
     }
 
     /// Writes what is acted on, if it is time; a kill leaves the old one or the new one.
-    pub(super) fn keep_if_due(&mut self, now: Micros, ledger: &Ledger) {
+    pub(super) fn keep_if_due(&mut self, now: Micros, ledger: &ObservationTable) {
         if now < self.due {
             return;
         }
         self.due = now + EVERY;
-        let worth_it = |fact: &Fact| fact.known.differs(now) >= 1.0;
-        let mut kept: Vec<Fact> = ledger.acted_on(now).filter(worth_it).collect();
-        kept.sort_by(|a, b| b.known.differs(now).total_cmp(&a.known.differs(now)));
+        let worth_it = |fact: &Observation| fact.observed.impact(now) >= 1.0;
+        let mut kept: Vec<Observation> = ledger.all_actionable(now).filter(worth_it).collect();
+        kept.sort_by(|a, b| b.observed.impact(now).total_cmp(&a.observed.impact(now)));
         kept.truncate(self.most);
         // The next one is written in any case.
         let _ = kept::write(&self.file, &kept);
--- a/src/fleet/told.rs
+++ b/src/fleet/told.rs
@@ -1,7 +1,7 @@
 //! What the runtime tells the fleet's task, and what facts mean to the module. It decides nothing.
 
-use peers::fact::{Fact, Known};
-use peers::witness::{Seen, Sign as SeenSign};
+use peers::observation::{Observation, Observed};
+use peers::observer::{CallSignal, ObservedCall};
 use permits::Tiers;
 use permits::note::Sign;
 use permits::steward::Report;
@@ -26,7 +26,7 @@
         /// What it shows a steward, if anything.
         report: Option<Report>,
         /// What it shows the witness.
-        seen: Seen,
+        seen: ObservedCall,
     },
 }
 
@@ -35,28 +35,35 @@
     destination: i64, outcome: Outcome, (began, ended): (Micros, Micros), told: &crate::interface::Report,
 ) -> ToFleet {
     let (seen, sign, wait) = match outcome {
-        Outcome::Ok => (SeenSign::Well, Some(Sign::Well), None),
-        Outcome::Full(wait) => (SeenSign::Refused(wait), Some(Sign::Refused), wait),
-        Outcome::Crowded => (SeenSign::Nothing, Some(Sign::Crowded), None),
+        Outcome::Ok => (CallSignal::Success, Some(Sign::Well), None),
+        Outcome::Full(wait) => (CallSignal::Refused(wait), Some(Sign::Refused), wait),
+        Outcome::Crowded => (CallSignal::Inconclusive, Some(Sign::Crowded), None),
         Outcome::Error | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => {
-            (SeenSign::Failed, Some(Sign::Failed), None)
+            (CallSignal::Failure, Some(Sign::Failed), None)
         }
-        Outcome::Spoilt | Outcome::Cancelled | Outcome::Skipped => (SeenSign::Nothing, None, None),
+        Outcome::Spoilt | Outcome::Cancelled | Outcome::Skipped => (CallSignal::Inconclusive, None, None),
     };
     let (limit, left) = (told.limit, told.left);
     let report = sign.map(|sign| Report { sign, began, wait, limit, left });
-    ToFleet::Ended { destination, report, seen: Seen { destination, began, ended, sign: seen, limit } }
+    ToFleet::Ended {
+        destination,
+        report,
+        seen: ObservedCall { destination, began, ended, signal: seen, limit },
+    }
 }
 
 /// A fact as the module hears of it. A wait binds who was told it, a pace and connections are each relay's own, and a
 /// limit comes with the first answer, where a wrong one would hold a partner back: these are for operators alone.
-pub(super) fn hearsay(fact: &Fact) -> Option<Hearsay> {
-    let word = match fact.known {
-        Known::Trouble { since, back: None, .. } => Word::Shut(since),
-        Known::Trouble { back, .. } => Word::Answers(back),
-        Known::Good { .. } => Word::Answers(None),
-        Known::Answer { mean, .. } => Word::Took(mean),
-        Known::Wait { .. } | Known::Pace { .. } | Known::Limit { .. } | Known::Connections { .. } => {
+pub(super) fn hearsay(fact: &Observation) -> Option<Hearsay> {
+    let word = match fact.observed {
+        Observed::Failing { since, recovering_since: None, .. } => Word::Shut(since),
+        Observed::Failing { recovering_since, .. } => Word::Answers(recovering_since),
+        Observed::Healthy { .. } => Word::Answers(None),
+        Observed::AnswerTime { mean, .. } => Word::Took(mean),
+        Observed::Wait { .. }
+        | Observed::Pace { .. }
+        | Observed::Limit { .. }
+        | Observed::Connections { .. } => {
             return None;
         }
     };
--- a/src/input.rs
+++ b/src/input.rs
@@ -41,7 +41,7 @@
     /// A steward said how long what waits for a destination waits at the least.
     Waits(i64, overload::waits::Waits),
     /// The fleet's budget lets repeats start.
-    Repeats(repeats::node::Handed),
+    Repeats(repeats::node::TokenUpdate),
     /// News of the destination set.
     Listed(ListForm, Vec<Member>),
     /// A receipt came for a message that was sent; with what it proves beside the message's end, if it ended no
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -12,7 +12,7 @@
 
 use overload::waits::Waits;
 use permits::held::Gate;
-use repeats::hand::Hand;
+use repeats::tokens::RetryTokens;
 use serde::{Deserialize, Serialize};
 
 use crate::draw::{jitter, scatter, stretched};
@@ -107,7 +107,7 @@
     /// Guards a destination that fails against what its senders' repeats add up to: a further attempt needs a
     /// credit of their budget. It hurts where a failure was one endpoint's alone.
     fn may_repeat(&self, now: Micros, message: &Message, settings: &Settings) -> bool {
-        message.attempts == 0 || !settings.repeats || self.repeats.count(now) > 0
+        message.attempts == 0 || !settings.repeats || self.repeats.available(now) > 0
     }
 }
 
@@ -195,7 +195,7 @@
             }
             Event::Repeats { destination, repeats, waits } => {
                 let place = self.destinations.get_mut(&destination);
-                place.into_iter().for_each(|place| place.repeats.given(now, repeats, waits.clone()));
+                place.into_iter().for_each(|place| place.repeats.update(now, repeats, waits.clone()));
             }
             Event::Timer(token) if token == self.token => self.timer = None,
             Event::Timer(_) | Event::Probed { .. } => {}
@@ -259,9 +259,9 @@
         for (id, destination) in &mut self.destinations {
             let again = |id: &MessageId| self.messages.get(id).is_some_and(|m| m.attempts > 0);
             let repeats = destination.queue.iter().filter(|(_, id)| again(id));
-            let beyond = repeats.skip(destination.repeats.count(now));
+            let beyond = repeats.skip(destination.repeats.available(now));
             let tiers = permits::tiers(beyond.map(|(rank, _)| rank.0.0));
-            if destination.repeats.want(&tiers) {
+            if destination.repeats.request(&tiers) {
                 actions.push(Action::WantRepeats { destination: *id, tiers });
             }
         }
@@ -343,7 +343,7 @@
         self.destinations.entry(id).or_insert_with(|| {
             let (endpoints, queue) = (BTreeSet::new(), BTreeSet::new());
             lanes.push(Lane::default());
-            let (lane, repeats) = (lanes.len() - 1, Hand::default());
+            let (lane, repeats) = (lanes.len() - 1, RetryTokens::default());
             Destination { lane, apart: false, batch: 1, endpoints, queue, repeats }
         })
     }
@@ -815,7 +815,7 @@
             }
         };
         if message.attempts > 0 {
-            self.destinations.entry(message.destination).and_modify(|place| place.repeats.take());
+            self.destinations.entry(message.destination).and_modify(|place| place.repeats.use_one());
         }
         message.out = Some(call_id);
         message.attempts += 1;
--- a/src/runtime/inputs.rs
+++ b/src/runtime/inputs.rs
@@ -30,10 +30,10 @@
             Input::Waits(destination, waits) => {
                 self.handle(Event::Waits { destination: DestinationId(destination), waits });
             }
-            Input::Repeats(handed) => self.handle(Event::Repeats {
-                destination: DestinationId(handed.destination),
-                repeats: handed.repeats,
-                waits: handed.waits,
+            Input::Repeats(update) => self.handle(Event::Repeats {
+                destination: DestinationId(update.destination),
+                repeats: update.retries,
+                waits: update.waits,
             }),
             Input::Receipt(receipt, late) => self.receipt(receipt, late),
             Input::Recorded(numbers) => self.records.push(Record::Recorded(numbers)),
--- a/src/state.rs
+++ b/src/state.rs
@@ -8,7 +8,7 @@
 use overload::backlog::Backlog;
 use overload::waits::Waits;
 use permits::held::Held;
-use repeats::hand::Hand;
+use repeats::tokens::RetryTokens;
 use serde::{Deserialize, Serialize};
 
 use crate::estimate::AnswerTimes;
@@ -87,7 +87,7 @@
     pub(crate) queue: BTreeSet<(Rank, MessageId)>,
     /// Further attempts that the senders' budget lets start.
     #[serde(default)]
-    pub(crate) repeats: Hand,
+    pub(crate) repeats: RetryTokens,
 }
 
 /// An endpoint. Invariant: once `stop` is set, nothing new goes there until the list names it in service.
