--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -1,4 +1,4 @@
-//! The relay while its system calls, its disk and its wall clock fail: real processes with the fault shim preloaded.
+//! Fault injection into system calls, the disk and the wall clock: real relay processes with the fault shim preloaded.
 
 mod stand;
 
@@ -14,35 +14,36 @@
 use stand::site::{configuration, order};
 use stand::*;
 
-/// A start is ready within this, once nothing fails any more.
+/// Maximum time until a starting relay is ready, after the faults have ended.
 const READY_WITHIN: Duration = Duration::from_secs(10);
-/// The time that clients give their messages.
+/// Time until the deadline of each message, in milliseconds.
 const TIME_LEFT_MS: u64 = 3_000;
-/// A message's end may come so long after its time.
+/// Tolerance for the end of a message after its deadline.
 const SLACK: Duration = Duration::from_millis(300);
 
-/// A call that came: the message, its body, and when.
-type Came = (String, Vec<u8>, Instant);
+/// A call received: the message, its body, and the time.
+type ReceivedCall = (String, Vec<u8>, Instant);
 
-/// An endpoint that notes what came, with bodies, and may be shut.
+/// An endpoint that collects the calls it receives, and can be made to refuse them.
 struct Endpoint {
     address: String,
-    heard: Arc<Mutex<Vec<Came>>>,
-    shut: Arc<AtomicBool>,
+    calls: Arc<Mutex<Vec<ReceivedCall>>>,
+    /// Whether calls are refused.
+    refusing: Arc<AtomicBool>,
 }
 
 impl Endpoint {
     fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a socket");
         let address = listener.local_addr().expect("an address").to_string();
-        let endpoint = Endpoint { address, heard: Arc::default(), shut: Arc::default() };
-        let (heard, shut) = (endpoint.heard.clone(), endpoint.shut.clone());
+        let endpoint = Endpoint { address, calls: Arc::default(), refusing: Arc::default() };
+        let (calls, refusing) = (endpoint.calls.clone(), endpoint.refusing.clone());
         std::thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                let (heard, shut) = (heard.clone(), shut.clone());
+                let (calls, refusing) = (calls.clone(), refusing.clone());
                 std::thread::spawn(move || {
                     while let Some(call) = hear(&mut stream) {
-                        if shut.load(Ordering::Relaxed) {
+                        if refusing.load(Ordering::Relaxed) {
                             let busy = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
                             if stream.write_all(busy.as_bytes()).is_err() {
                                 return;
@@ -50,7 +51,7 @@
                             continue;
                         }
                         let id = call.header("X-Correlation-Id").unwrap_or_default().to_string();
-                        heard.lock().expect("no panic").push((id, call.body, Instant::now()));
+                        calls.lock().expect("no panic").push((id, call.body, Instant::now()));
                         if stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").is_err() {
                             return;
                         }
@@ -62,11 +63,11 @@
     }
 
     fn ids(&self) -> Vec<String> {
-        self.heard.lock().expect("no panic").iter().map(|(id, ..)| id.clone()).collect()
+        self.calls.lock().expect("no panic").iter().map(|(id, ..)| id.clone()).collect()
     }
 }
 
-/// A relay that is started again and again on one folder, with faults.
+/// A relay that is started repeatedly on one folder, with faults.
 struct Relay {
     folder: PathBuf,
     address: String,
@@ -75,7 +76,7 @@
 impl Relay {
     fn new(name: &str, endpoint: &Endpoint) -> Self {
         let folder = folder(name);
-        // A port of its own, so that clients find the relay again after a restart.
+        // A fixed port, so that clients reach the relay after a restart.
         let free = TcpListener::bind("127.0.0.1:0").expect("a socket").local_addr().expect("an address");
         let mut file = configuration(std::slice::from_ref(&endpoint.address));
         file["listen"] = free.to_string().into();
@@ -87,12 +88,12 @@
         self.folder.join("state")
     }
 
-    /// Starts it with these faults, and does not wait.
+    /// Starts the relay with these faults, without waiting until it is ready.
     fn launch(&self, scenario: &str, seed: u64) -> Program {
         self.launch_with(scenario, seed, &self.state())
     }
 
-    /// The same, with faults of files in another folder.
+    /// Like `launch`, with faults of files in another folder.
     fn launch_with(&self, scenario: &str, seed: u64, scope: &Path) -> Program {
         let scenario = Scenario::read(scenario).expect("a scenario");
         let (state, log) = (self.state(), self.folder.join("faults.log"));
@@ -113,26 +114,26 @@
         program
     }
 
-    fn faults_made(&self) -> usize {
+    fn injected_faults(&self) -> usize {
         std::fs::read_to_string(self.folder.join("faults.log")).map_or(0, |log| log.lines().count())
     }
 }
 
-/// What clients saw.
+/// The answers that clients received.
 #[derive(Default)]
-struct Seen {
+struct Answers {
     accepted: BTreeMap<String, Instant>,
     refused: usize,
     unanswered: Vec<String>,
 }
 
-/// Clients that hand messages in one after the other, each on a connection that it keeps, for so long.
-fn clients(relay: &Relay, name: &str, clients: usize, lasting: Duration) -> Seen {
-    let seen = Mutex::new(Seen::default());
-    let until = Instant::now() + lasting;
+/// Runs clients for a time, each of which submits messages one after the other on a persistent connection.
+fn clients(relay: &Relay, name: &str, clients: usize, duration: Duration) -> Answers {
+    let answers = Mutex::new(Answers::default());
+    let until = Instant::now() + duration;
     std::thread::scope(|scope| {
         for client in 0..clients {
-            let (seen, address) = (&seen, &relay.address);
+            let (answers, address) = (&answers, &relay.address);
             scope.spawn(move || {
                 let mut kept: Option<TcpStream> = None;
                 for n in 0.. {
@@ -149,28 +150,28 @@
                     let body = id.repeat(40);
                     let request = handed_in(class, &id, 0, TIME_LEFT_MS, body.as_bytes());
                     let answer = ask(&mut stream, &request).map(|answer| answer.status());
-                    let mut seen = seen.lock().expect("no panic");
+                    let mut answers = answers.lock().expect("no panic");
                     match answer {
-                        Some(202) => drop(seen.accepted.insert(id, Instant::now())),
-                        Some(_) => seen.refused += 1,
-                        None => seen.unanswered.push(id),
+                        Some(202) => drop(answers.accepted.insert(id, Instant::now())),
+                        Some(_) => answers.refused += 1,
+                        None => answers.unanswered.push(id),
                     }
                     if answer.is_some() {
                         kept = Some(stream);
                     }
-                    drop(seen);
+                    drop(answers);
                     std::thread::sleep(Duration::from_millis(4));
                 }
             });
         }
     });
-    seen.into_inner().expect("no panic")
+    answers.into_inner().expect("no panic")
 }
 
-/// Waits until all that was accepted was delivered, each non-idempotent message once and with its own body.
-fn all_delivered(endpoint: &Endpoint, seen: &Seen) {
+/// Asserts that all accepted messages are delivered in time, each with its own body, and non-idempotent ones once.
+fn assert_all_delivered(endpoint: &Endpoint, answers: &Answers) {
     let missing = |ids: &BTreeSet<String>| -> Vec<String> {
-        seen.accepted.keys().filter(|id| !ids.contains(*id)).cloned().collect()
+        answers.accepted.keys().filter(|id| !ids.contains(*id)).cloned().collect()
     };
     let until = Instant::now() + Duration::from_millis(TIME_LEFT_MS) + SLACK;
     while !missing(&endpoint.ids().into_iter().collect()).is_empty() && Instant::now() < until {
@@ -181,14 +182,14 @@
         lost.is_empty(),
         "{} of {} accepted were not delivered: {lost:?}",
         lost.len(),
-        seen.accepted.len()
+        answers.accepted.len()
     );
-    let heard = endpoint.heard.lock().expect("no panic");
+    let calls = endpoint.calls.lock().expect("no panic");
     let mut once = BTreeSet::new();
-    for (id, body, _) in heard.iter() {
+    for (id, body, _) in calls.iter() {
         assert_eq!(*body, id.repeat(40).into_bytes(), "{id} has another body");
         let odd = id.rsplit('-').next().and_then(|n| n.parse::<u64>().ok()).is_some_and(|n| n % 2 == 1);
-        assert!(once.insert(id.clone()) || !odd, "{id} came twice");
+        assert!(once.insert(id.clone()) || !odd, "{id} was delivered twice");
     }
 }
 
@@ -198,64 +199,64 @@
     )
 }
 
-/// Starts a relay on an empty folder while a call fails for 700 ms, and has it deliver a message.
-fn starts_although(name: &str, call: &str, error: &str) {
+/// Starts a relay on an empty folder while a system call fails for 700 ms, and delivers messages through it.
+fn assert_starts_despite(name: &str, call: &str, error: &str) {
     let endpoint = Endpoint::start();
     let relay = Relay::new(name, &endpoint);
     let _program = relay.start(&fault(call, error, 1.0, 0, 700), 1);
-    assert!(relay.faults_made() > 0, "no fault was made");
-    let seen = clients(&relay, "s", 1, Duration::from_millis(100));
-    assert!(!seen.accepted.is_empty() && seen.unanswered.is_empty());
-    all_delivered(&endpoint, &seen);
+    assert!(relay.injected_faults() > 0, "no fault was injected");
+    let answers = clients(&relay, "s", 1, Duration::from_millis(100));
+    assert!(!answers.accepted.is_empty() && answers.unanswered.is_empty());
+    assert_all_delivered(&endpoint, &answers);
 }
 
 #[test]
 fn start_on_an_empty_disk_waits_while_files_cannot_be_created() {
-    starts_although("faults-create", "create", "ENOSPC");
+    assert_starts_despite("faults-create", "create", "ENOSPC");
 }
 
 #[test]
 fn start_waits_while_the_state_folder_cannot_be_created() {
-    starts_although("faults-mkdir", "mkdir", "EIO");
+    assert_starts_despite("faults-mkdir", "mkdir", "EIO");
 }
 
 #[test]
 fn start_waits_while_the_lock_cannot_be_taken() {
-    starts_although("faults-lock", "lock", "ENOLCK");
+    assert_starts_despite("faults-lock", "lock", "ENOLCK");
 }
 
 #[test]
-fn start_waits_while_no_socket_is_to_be_had() {
-    starts_although("faults-socket", "socket", "ENFILE");
+fn start_waits_while_no_socket_can_be_created() {
+    assert_starts_despite("faults-socket", "socket", "ENFILE");
 }
 
 #[test]
-fn start_waits_while_no_event_loop_is_to_be_had() {
-    starts_although("faults-epoll", "epoll_create", "EMFILE");
+fn start_waits_while_no_event_loop_can_be_created() {
+    assert_starts_despite("faults-epoll", "epoll_create", "EMFILE");
 }
 
 #[test]
 fn start_waits_while_its_address_cannot_be_bound() {
-    starts_although("faults-bind", "bind", "ENOBUFS");
+    assert_starts_despite("faults-bind", "bind", "ENOBUFS");
 }
 
 #[test]
-fn start_waits_while_the_journal_cannot_be_read_and_its_torn_end_cannot_be_cut() {
+fn start_waits_while_the_journal_cannot_be_read_or_its_torn_end_truncated() {
     let endpoint = Endpoint::start();
     let relay = Relay::new("faults-torn-start", &endpoint);
     let mut program = relay.start("", 1);
-    let seen = clients(&relay, "t", 1, Duration::from_millis(100));
-    all_delivered(&endpoint, &seen);
+    let answers = clients(&relay, "t", 1, Duration::from_millis(100));
+    assert_all_delivered(&endpoint, &answers);
     program.kill();
     let segment = newest_segment(&relay.state());
     let mut file = std::fs::File::options().append(true).open(segment).expect("a segment");
     file.write_all(&[40, 0, 0, 0, 1, 2, 3, 4, 5]).expect("a torn record");
     let faults = fault("read", "EIO", 1.0, 0, 400) + &fault("truncate", "EIO", 1.0, 0, 60_000);
     let _program = relay.start(&faults, 1);
-    assert!(relay.faults_made() > 0, "no fault was made");
-    let seen = clients(&relay, "u", 1, Duration::from_millis(100));
-    assert!(!seen.accepted.is_empty());
-    all_delivered(&endpoint, &seen);
+    assert!(relay.injected_faults() > 0, "no fault was injected");
+    let answers = clients(&relay, "u", 1, Duration::from_millis(100));
+    assert!(!answers.accepted.is_empty());
+    assert_all_delivered(&endpoint, &answers);
 }
 
 #[test]
@@ -265,11 +266,11 @@
     let faults = fault("open", "EMFILE", 1.0, 0, 400) + &fault("read", "EIO", 1.0, 0, 700);
     let mut program = relay.launch_with(&faults, 1, &relay.folder);
     program.wait_ready(1);
-    assert!(relay.faults_made() > 0, "no fault was made");
+    assert!(relay.injected_faults() > 0, "no fault was injected");
 }
 
 #[test]
-fn a_reload_is_tried_again_while_the_configuration_cannot_be_read() {
+fn a_reload_is_retried_while_the_configuration_cannot_be_read() {
     let endpoint = Endpoint::start();
     let relay = Relay::new("faults-reload", &endpoint);
     let faults = fault("read", "EIO", 1.0, 500, 1800);
@@ -278,55 +279,55 @@
     std::thread::sleep(Duration::from_millis(700));
     program.signal("-HUP");
     program.logged("configuration read again");
-    assert!(relay.faults_made() > 0, "no fault was made");
-    let seen = clients(&relay, "r", 1, Duration::from_millis(100));
-    assert!(!seen.accepted.is_empty() && seen.unanswered.is_empty());
+    assert!(relay.injected_faults() > 0, "no fault was injected");
+    let answers = clients(&relay, "r", 1, Duration::from_millis(100));
+    assert!(!answers.accepted.is_empty() && answers.unanswered.is_empty());
 }
 
 #[test]
-fn a_log_that_cannot_be_written_ends_no_task() {
+fn a_failing_log_ends_no_task() {
     let faults = fault("log", "ENOSPC", 1.0, 300, 60_000) + &fault("write", "ENOSPC", 1.0, 600, 900);
-    outlives_disk("faults-log", &faults, 1);
+    assert_survives_faults("faults-log", &faults, 1);
 }
 
-/// Starts a relay on a folder that cannot be used; what it said last.
-fn refuses(relay: &Relay, faults: &str) -> String {
+/// Starts a relay on a folder that it cannot use, and returns the last line of its log.
+fn failed_start(relay: &Relay, faults: &str) -> String {
     let (code, log) = relay.launch(faults, 1).ended();
     assert_eq!(code, Some(1), "{log:?}");
     log.last().cloned().unwrap_or_default()
 }
 
 #[test]
-fn a_folder_that_cannot_be_used_ends_the_start_by_name_and_stays_as_it_is() {
+fn an_unusable_state_folder_fails_the_start_with_its_name_and_is_not_changed() {
     let endpoint = Endpoint::start();
     let relay = Relay::new("faults-bad-folder", &endpoint);
     let state = relay.state();
     std::fs::write(&state, "a file").expect("a file");
-    let said = refuses(&relay, "");
-    assert!(said.contains("state") && std::fs::read(&state).expect("the file") == b"a file", "{said}");
+    let line = failed_start(&relay, "");
+    assert!(line.contains("state") && std::fs::read(&state).expect("the file") == b"a file", "{line}");
     std::fs::remove_file(&state).expect("removed");
-    let said = refuses(&relay, &fault("create", "EACCES", 1.0, 0, 60_000));
-    assert!(said.contains("state: Permission denied"), "{said}");
+    let line = failed_start(&relay, &fault("create", "EACCES", 1.0, 0, 60_000));
+    assert!(line.contains("state: Permission denied"), "{line}");
     let mut program = relay.start("", 1);
-    let seen = clients(&relay, "b", 1, Duration::from_millis(100));
-    all_delivered(&endpoint, &seen);
-    let said = refuses(&relay, "");
-    assert!(said.contains("Address already in use") || said.contains("another process uses"), "{said}");
+    let answers = clients(&relay, "b", 1, Duration::from_millis(100));
+    assert_all_delivered(&endpoint, &answers);
+    let line = failed_start(&relay, "");
+    assert!(line.contains("Address already in use") || line.contains("another process uses"), "{line}");
     program.kill();
-    // Another relay's folder.
+    // The folder belongs to another relay.
     let file = relay.folder.join("config.json");
     let text = std::fs::read_to_string(&file).expect("a file");
     std::fs::write(&file, text.replace("\"name\":\"n0\"", "\"name\":\"n1\"")).expect("a file");
-    let said = refuses(&relay, "");
-    assert!(said.contains("belongs to the relay \"n0\""), "{said}");
+    let line = failed_start(&relay, "");
+    assert!(line.contains("belongs to the relay \"n0\""), "{line}");
     std::fs::write(&file, text).expect("a file");
-    // A record in the middle is damaged.
+    // A record in the middle of the journal is damaged.
     let segment = newest_segment(&state);
     let mut bytes = std::fs::read(&segment).expect("a segment");
     bytes[12] ^= 1;
     std::fs::write(&segment, &bytes).expect("a segment");
-    let said = refuses(&relay, "");
-    assert!(said.contains("is damaged at byte 0; move it away"), "{said}");
+    let line = failed_start(&relay, "");
+    assert!(line.contains("is damaged at byte 0; move it away"), "{line}");
     assert_eq!(std::fs::read(&segment).expect("a segment"), bytes);
 }
 
@@ -336,58 +337,59 @@
     files.filter(|path| number(path).is_some()).max_by_key(number).expect("a segment")
 }
 
-/// Plays clients over a relay whose disk fails for a while, and then kills and restarts it.
-fn outlives_disk(name: &str, faults: &str, seed: u64) {
+/// Runs clients against a relay while faults are injected, and kills and restarts it afterwards. Every accepted message has to be
+/// delivered.
+fn assert_survives_faults(name: &str, faults: &str, seed: u64) {
     let endpoint = Endpoint::start();
     let relay = Relay::new(name, &endpoint);
     let mut program = relay.start(faults, seed);
-    let seen = clients(&relay, "d", 8, Duration::from_millis(2500));
-    assert!(relay.faults_made() > 0, "no fault was made");
-    assert!(program.runs(), "the process ended");
-    assert_eq!(seen.unanswered, Vec::<String>::new());
-    all_delivered(&endpoint, &seen);
+    let answers = clients(&relay, "d", 8, Duration::from_millis(2500));
+    assert!(relay.injected_faults() > 0, "no fault was injected");
+    assert!(program.runs(), "the process exited");
+    assert_eq!(answers.unanswered, Vec::<String>::new());
+    assert_all_delivered(&endpoint, &answers);
     let last = clients(&relay, "e", 2, Duration::from_millis(150));
-    assert!(!last.accepted.is_empty(), "it takes messages again");
-    all_delivered(&endpoint, &last);
+    assert!(!last.accepted.is_empty(), "messages are accepted again");
+    assert_all_delivered(&endpoint, &last);
     program.kill();
     let _program = relay.start("", seed);
     let after = clients(&relay, "f", 2, Duration::from_millis(100));
-    all_delivered(&endpoint, &after);
+    assert_all_delivered(&endpoint, &after);
 }
 
 #[test]
-fn a_full_disk_ends_no_process_and_loses_nothing_that_was_accepted() {
-    outlives_disk("faults-full", &fault("write", "ENOSPC", 1.0, 600, 1300), 1);
+fn a_full_disk_ends_no_process_and_loses_no_accepted_message() {
+    assert_survives_faults("faults-full", &fault("write", "ENOSPC", 1.0, 600, 1300), 1);
 }
 
 #[test]
-fn writes_that_fail_in_part_damage_nothing_that_follows_them() {
+fn torn_writes_do_not_damage_later_records() {
     let torn = fault("write", "EIO", 0.3, 500, 1500).replace("call", "effect = \"torn\"\ncall");
-    outlives_disk("faults-torn", &torn, 7);
+    assert_survives_faults("faults-torn", &torn, 7);
 }
 
 #[test]
-fn writes_that_fail_in_part_and_cannot_be_cut_back_damage_nothing() {
+fn torn_writes_that_cannot_be_truncated_do_not_damage_later_records() {
     let torn = fault("write", "ENOSPC", 0.3, 500, 1500).replace("call", "effect = \"torn\"\ncall");
-    outlives_disk("faults-uncut", &(torn + &fault("truncate", "EIO", 0.8, 0, 60_000)), 21);
+    assert_survives_faults("faults-uncut", &(torn + &fault("truncate", "EIO", 0.8, 0, 60_000)), 21);
 }
 
 #[test]
-fn an_old_segment_that_cannot_be_removed_ends_no_process() {
-    outlives_disk("faults-unlink", &fault("unlink", "EIO", 1.0, 0, 2000), 22);
+fn a_segment_that_cannot_be_removed_ends_no_process() {
+    assert_survives_faults("faults-unlink", &fault("unlink", "EIO", 1.0, 0, 2000), 22);
 }
 
 #[test]
-fn interrupted_calls_end_no_connection() {
+fn interrupted_system_calls_end_no_connection() {
     let faults: String = ["recv", "send", "accept", "wait", "connect", "read", "write"]
         .iter()
         .map(|call| fault(call, "EINTR", 0.2, 300, 60_000))
         .collect();
-    outlives_disk("faults-eintr", &faults, 7);
+    assert_survives_faults("faults-eintr", &faults, 7);
 }
 
 #[test]
-fn a_message_whose_client_heard_a_part_of_the_acceptance_is_still_delivered() {
+fn a_message_is_delivered_after_its_client_received_part_of_the_acceptance() {
     let endpoint = Endpoint::start();
     let relay = Relay::new("faults-half-accepted", &endpoint);
     let torn = "[[fault]]\ncall = \"send\"\neffect = \"torn\"\nerror = \"EPIPE\"\nprobability = 1.0\nfrom_ms = 0\nto_ms = 2000\n";
@@ -399,7 +401,7 @@
     assert!(answer.starts_with(b"HTTP/1.1 202"), "{:?}", String::from_utf8_lossy(&answer));
     let by = Instant::now() + Duration::from_secs(8);
     while endpoint.ids() != ["half"] {
-        assert!(Instant::now() < by, "its client may have heard that it was accepted");
+        assert!(Instant::now() < by, "the client may have received the acceptance");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -410,43 +412,43 @@
         .iter()
         .map(|call| fault(call, "EIO", 0.5, 300, 60_000).replace("error = \"EIO\"", "effect = \"short\""))
         .collect();
-    outlives_disk("faults-short", &faults, 21);
+    assert_survives_faults("faults-short", &faults, 21);
 }
 
 #[test]
-fn connections_that_this_machine_cannot_make_for_a_moment_end_no_message() {
+fn transient_local_connection_errors_end_no_message() {
     let faults = fault("connect", "EADDRNOTAVAIL", 0.5, 0, 60_000)
         + &fault("socket", "ENFILE", 0.5, 300, 1500)
         + &fault("accept", "ECONNABORTED", 0.3, 0, 60_000);
-    outlives_disk("faults-connect", &faults, 22);
+    assert_survives_faults("faults-connect", &faults, 22);
 }
 
-/// Kills a relay that holds messages, and starts it with its wall clock stepped: what is held keeps its time.
-fn keeps_time_over_a_step(name: &str, step_ms: i64) {
+/// Kills a relay that holds messages, and restarts it with a stepped wall clock: the messages keep their deadlines.
+fn assert_deadlines_survive_a_step(name: &str, step_ms: i64) {
     let endpoint = Endpoint::start();
     let relay = Relay::new(name, &endpoint);
-    endpoint.shut.store(true, Ordering::Relaxed);
+    endpoint.refusing.store(true, Ordering::Relaxed);
     let mut program = relay.start("", 1);
-    let seen = clients(&relay, "c", 2, Duration::from_millis(200));
-    assert!(!seen.accepted.is_empty());
+    let answers = clients(&relay, "c", 2, Duration::from_millis(200));
+    assert!(!answers.accepted.is_empty());
     program.kill();
     let program = relay.start(&format!("[[step]]\nat_ms = 0\nby_ms = {step_ms}\n"), 1);
     std::thread::sleep(Duration::from_millis(300));
     let (_, status) = order(&program.door, "GET", "/status");
-    assert_eq!(status["held"], seen.accepted.len(), "all still have time");
-    let last = seen.accepted.values().max().expect("one was accepted");
+    assert_eq!(status["held"], answers.accepted.len(), "all messages are before their deadlines");
+    let last = answers.accepted.values().max().expect("one was accepted");
     let until = *last + Duration::from_millis(TIME_LEFT_MS) + SLACK;
     std::thread::sleep(until.saturating_duration_since(Instant::now()));
     let (_, status) = order(&program.door, "GET", "/status");
-    assert_eq!(status["held"], 0, "none has time left");
+    assert_eq!(status["held"], 0, "all messages are past their deadlines");
 }
 
 #[test]
-fn a_wall_clock_that_steps_ahead_over_a_restart_takes_no_time_from_a_message() {
-    keeps_time_over_a_step("faults-ahead", 3_600_000);
+fn a_forward_step_of_the_wall_clock_over_a_restart_shortens_no_deadline() {
+    assert_deadlines_survive_a_step("faults-ahead", 3_600_000);
 }
 
 #[test]
-fn a_wall_clock_that_steps_back_over_a_restart_gives_no_time_to_a_message() {
-    keeps_time_over_a_step("faults-back", -3_600_000);
+fn a_backward_step_of_the_wall_clock_over_a_restart_extends_no_deadline() {
+    assert_deadlines_survive_a_step("faults-back", -3_600_000);
 }
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -1,5 +1,5 @@
-//! A relay among its peers, as processes on loopback: what one saw fail, another that starts knows; what is shown to
-//! an operator; a relay's own snapshot where no peer answers.
+//! Relays that gossip as processes on loopback: a starting relay learns of a failing destination from its peer, the command
+//! line shows observations and peers, and without a peer a relay reads its own snapshot.
 
 mod stand;
 
@@ -12,8 +12,8 @@
 use serde_json::Value;
 use stand::*;
 
-/// An endpoint that refuses every call.
-fn shut() -> String {
+/// Starts an endpoint that refuses every call, and returns its address.
+fn refusing_endpoint() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a socket");
     let address = listener.local_addr().expect("an address").to_string();
     std::thread::spawn(move || {
@@ -30,10 +30,11 @@
     address
 }
 
-fn configuration(folder: &Path, me: usize, notes: &[String], endpoint: &str) -> PathBuf {
+/// Writes the configuration of relay `me` of a fleet with these peer addresses.
+fn configuration(folder: &Path, me: usize, peers: &[String], endpoint: &str) -> PathBuf {
     let file = folder.join(format!("n{me}.toml"));
     std::fs::write(folder.join("peers.key"), [7; 32]).expect("a file");
-    let all: Vec<String> = notes.iter().map(|address| format!("\"{address}\"")).collect();
+    let all: Vec<String> = peers.iter().map(|address| format!("\"{address}\"")).collect();
     let text = format!(
         "name = \"n{me}\"\nlisten = \"127.0.0.1:0\"\nstate = \"n{me}.state\"\n[store]\nkind = \"journal\"\n\
          [relay]\nrelays = 2\n[[class]]\nname = \"status-update\"\neffect = \"repeatable\"\naim_ms = 500\n\
@@ -41,7 +42,7 @@
          [[destination]]\nnumber = 1\nper_s = 8\nendpoints = [\"{endpoint}\"]\n\
          [peers]\nme = {me}\nlisten = \"{}\"\nall = [{}]\ncontrol = \"n{me}.control\"\n\
          [[peers.key]]\nid = 3\nfile = \"peers.key\"\n",
-        notes[me],
+        peers[me],
         all.join(", ")
     );
     std::fs::write(&file, text).expect("a file");
@@ -52,90 +53,91 @@
     Program::start(&["run", "--config", &file.display().to_string()], &[], 1)
 }
 
-/// What the tool shows of a running relay.
-fn shown(part: &str, file: &Path) -> Value {
+/// What the command line shows of a running relay.
+fn shown(command: &str, file: &Path) -> Value {
     let output = Command::new(env!("CARGO_BIN_EXE_tulipfall"))
-        .args([part, "show", "--json", "--config", &file.display().to_string()])
+        .args([command, "show", "--json", "--config", &file.display().to_string()])
         .output()
-        .expect("it runs");
+        .expect("the command runs");
     assert!(output.status.success(), "{output:?}");
     serde_json::from_slice(&output.stdout).expect("JSON")
 }
 
-fn knows_trouble(file: &Path, by: u64) -> bool {
+/// Whether a relay holds an outage observed by relay `by`.
+fn knows_outage(file: &Path, by: u64) -> bool {
     let facts = shown("facts", file);
     let facts = facts.as_array().expect("facts").iter();
     facts.into_iter().any(|fact| fact["by"] == by && !fact["known"]["Trouble"].is_null())
 }
 
-fn until(mut holds: impl FnMut() -> bool) {
+fn wait_until(mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
-    while !holds() {
-        assert!(started.elapsed() < FAR, "it never holds");
+    while !condition() {
+        assert!(started.elapsed() < FAR, "the condition did not become true in time");
     }
 }
 
 #[test]
-fn a_relay_that_starts_knows_what_its_peer_saw_and_later_what_it_saw_itself() {
+fn a_starting_relay_learns_outages_from_its_peer_or_from_its_own_snapshot() {
     let folder = folder("peers");
-    let notes: Vec<String> = {
+    let addresses: Vec<String> = {
         let free: Vec<_> = (0..2).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a socket")).collect();
         free.iter().map(|socket| socket.local_addr().expect("an address").to_string()).collect()
     };
-    let endpoint = shut();
-    let files: Vec<PathBuf> = (0..2).map(|me| configuration(&folder, me, &notes, &endpoint)).collect();
+    let endpoint = refusing_endpoint();
+    let files: Vec<PathBuf> = (0..2).map(|me| configuration(&folder, me, &addresses, &endpoint)).collect();
     let mut first = start(&files[0]);
     let mut n = 0;
-    until(|| {
+    wait_until(|| {
         n += 1;
         let request = handed_in("status-update", &format!("m{n}"), 1, 3000, b"x");
         ask(&mut connect(&first.addresses[0]), &request).expect("an answer");
-        knows_trouble(&files[0], 0)
+        knows_outage(&files[0], 0)
     });
     let mut second = start(&files[1]);
-    until(|| knows_trouble(&files[1], 0));
-    until(|| shown("peers", &files[1])[0]["standing"] == "alive");
-    // A note without the key has no effect.
-    let stranger = UdpSocket::bind("127.0.0.1:0").expect("a socket");
-    stranger.send_to(&[1; 40], &notes[1]).expect("sent");
+    wait_until(|| knows_outage(&files[1], 0));
+    wait_until(|| shown("peers", &files[1])[0]["standing"] == "alive");
+    // A datagram without the key has no effect.
+    let outsider = UdpSocket::bind("127.0.0.1:0").expect("a socket");
+    outsider.send_to(&[1; 40], &addresses[1]).expect("a datagram");
     assert!(second.addresses.len() == 1);
-    // With nobody to ask, the snapshot of the process before counts.
+    // Without a running peer, the snapshot of the earlier process is read.
     second.kill();
-    until(|| {
+    wait_until(|| {
         std::fs::read_to_string(folder.join("n0.state/facts")).is_ok_and(|text| text.contains("Trouble"))
     });
     first.kill();
     let _first = start(&files[0]);
-    until(|| knows_trouble(&files[0], 0));
+    wait_until(|| knows_outage(&files[0], 0));
 }
 
 #[test]
-fn a_reload_takes_on_another_set_of_relays() {
+fn a_reload_replaces_the_set_of_peers() {
     let folder = folder("peers-reload");
     let free: Vec<_> = (0..3).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a socket")).collect();
-    let notes: Vec<String> =
+    let addresses: Vec<String> =
         free.iter().map(|socket| socket.local_addr().expect("an address").to_string()).collect();
     drop(free);
-    let endpoint = shut();
-    let file = configuration(&folder, 0, &notes[..2], &endpoint);
+    let endpoint = refusing_endpoint();
+    let file = configuration(&folder, 0, &addresses[..2], &endpoint);
     let first = start(&file);
     let peers = || shown("peers", &file).as_array().map(Vec::len);
     assert_eq!(peers(), Some(1));
-    // A set that this relay is not part of is refused as a whole.
+    // A set of peers without this relay is refused.
     let text = std::fs::read_to_string(&file).expect("a file");
     std::fs::write(&file, text.replace("me = 0", "me = 7")).expect("a file");
     first.signal("-HUP");
     first.logged("the old one stays");
-    configuration(&folder, 0, &notes[..2], &endpoint);
+    configuration(&folder, 0, &addresses[..2], &endpoint);
     assert_eq!(peers(), Some(1));
-    configuration(&folder, 0, &notes, &endpoint);
+    configuration(&folder, 0, &addresses, &endpoint);
     first.signal("-HUP");
     first.logged("configuration read again");
-    until(|| peers() == Some(2));
-    // The one that came hears of it, and is heard.
-    let _third = start(&configuration(&folder, 2, &notes, &endpoint));
-    until(|| shown("peers", &file)[1]["heard_s_ago"].is_number());
-    // What a reload does not take on is named.
+    wait_until(|| peers() == Some(2));
+    // The new relay and this one exchange datagrams.
+    let _third = start(&configuration(&folder, 2, &addresses, &endpoint));
+    wait_until(|| shown("peers", &file)[1]["heard_s_ago"].is_number());
+    // Changes that need a restart are named.
     let text = std::fs::read_to_string(&file).expect("a file");
     std::fs::write(&file, text.replace("per_s = 8", "per_s = 9").replace("me = 0", "me = 1"))
         .expect("a file");
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,5 +1,5 @@
-//! One process of a relay takes over from another that still runs, over sockets with the real program: the clients'
-//! listening socket is held here and inherited by both. Nothing sleeps to let something happen.
+//! Handover between two processes of one relay, with the real program on sockets. The test holds the clients' listening socket,
+//! which both processes inherit. No test sleeps to wait for an effect.
 
 mod stand;
 
@@ -13,6 +13,7 @@
 use stand::site::{configuration, order};
 use stand::*;
 
+/// A relay's folder, its listening socket and its endpoints.
 struct Scene {
     folder: PathBuf,
     clients: TcpListener,
@@ -39,7 +40,7 @@
         self.launch_with(&[])
     }
 
-    /// Launches it with more in its environment.
+    /// Launches the relay with additional environment variables.
     fn launch_with(&self, more: &[(&str, &str)]) -> Program {
         let path = |name: &str| self.folder.join(name).display().to_string();
         let (config, state) = (path("config.json"), path("state"));
@@ -54,7 +55,7 @@
     }
 }
 
-fn hand(class: &str, id: &str, dest: i64) -> Vec<u8> {
+fn submission(class: &str, id: &str, dest: i64) -> Vec<u8> {
     handed_in(class, id, dest, 12_000, b"body")
 }
 
@@ -66,52 +67,53 @@
     call.header("X-Correlation-Id").unwrap_or_default().to_string()
 }
 
-fn ends(mut stream: TcpStream) {
+/// Asserts that the relay closes a connection without a reset.
+fn assert_closed(mut stream: TcpStream) {
     let mut rest = Vec::new();
-    stream.read_to_end(&mut rest).expect("an end that is no reset");
+    stream.read_to_end(&mut rest).expect("a close without a reset");
     assert_eq!(rest, b"");
 }
 
 #[test]
-fn calls_that_are_out_waits_and_kept_connections_pass_to_the_new_process() {
+fn calls_in_flight_waits_and_idle_connections_pass_to_the_new_process() {
     let scene = Scene::new("upgrade");
     let mut old = scene.start();
-    // A charge whose call is out, and a destination that told a wait.
+    // A non-idempotent message with its call in flight, and a destination that requested a wait.
     let mut kept = connect(&scene.listen());
-    assert_eq!(status(&mut kept, &hand("paid-extra", "c1", 0)), 202);
+    assert_eq!(status(&mut kept, &submission("paid-extra", "c1", 0)), 202);
     let mut call = accept(&scene.endpoints[0]);
     assert_eq!(id(&hear(&mut call).expect("a call")), "c1");
-    assert_eq!(status(&mut kept, &hand("status-update", "w1", 1)), 202);
+    assert_eq!(status(&mut kept, &submission("status-update", "w1", 1)), 202);
     let mut refused = accept(&scene.endpoints[1]);
     assert_eq!(id(&hear(&mut refused).expect("a call")), "w1");
     refused.write_all(b"HTTP/1.1 429 Full\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n").expect("written");
-    let told = std::time::Instant::now();
+    let wait_requested = std::time::Instant::now();
     let untouched = connect(&scene.listen());
     let mut half = connect(&scene.listen());
-    let bytes = hand("status-update", "h1", 0);
+    let bytes = submission("status-update", "h1", 0);
     half.write_all(&bytes[..40]).expect("written");
-    // Its outcome has reached the old one once the next message is answered.
-    assert_eq!(status(&mut kept, &hand("status-update", "n1", 9)), 503);
+    // The answer to the next message shows that the old process has processed this outcome.
+    assert_eq!(status(&mut kept, &submission("status-update", "n1", 9)), 503);
 
     let new = scene.start();
     assert_eq!(order(&new.door, "GET", "/status").0, 200);
     let (status_old, body) = order(&old.door, "GET", "/status");
     assert_eq!((status_old, body["state"].as_str()), (503, Some("superseded")));
     assert_eq!(order(&old.door, "POST", "/standby").0, 409);
-    // What still comes on the old one's connections is taken on by the new one, and ends them.
-    let heard = ask(&mut kept, &hand("status-update", "k1", 0)).expect("an answer");
+    // Requests on the old process's connections are accepted by the new one, and their answers close the connections.
+    let heard = ask(&mut kept, &submission("status-update", "k1", 0)).expect("an answer");
     assert_eq!((heard.status(), heard.header("Connection")), (202, Some("close")));
-    ends(kept);
+    assert_closed(kept);
     half.write_all(&bytes[40..]).expect("written");
     assert_eq!(hear(&mut half).expect("an answer").status(), 202);
-    ends(half);
-    ends(untouched);
+    assert_closed(half);
+    assert_closed(untouched);
     let mut fresh = connect(&scene.listen());
-    let heard = ask(&mut fresh, &hand("status-update", "f1", 0)).expect("an answer");
+    let heard = ask(&mut fresh, &submission("status-update", "f1", 0)).expect("an answer");
     assert_eq!((heard.status(), heard.header("Connection")), (202, None));
-    // The charge is answered on the old one's socket, and is never called again.
+    // The non-idempotent call is answered on the old process's socket, and is never retried.
     call.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("written");
-    assert!(old.ended_well(), "with nothing left it goes by itself");
+    assert!(old.ended_well(), "a process with nothing left to do exits by itself");
     let mut others: Vec<String> = (0..3)
         .map(|_| {
             let mut call = accept(&scene.endpoints[0]);
@@ -123,54 +125,58 @@
         .collect();
     others.sort();
     assert_eq!(others, ["f1", "h1", "k1"]);
-    // The wait was told to the old one and binds the new one.
+    // The wait that the old process received binds the new one.
     let mut again = accept(&scene.endpoints[1]);
     assert_eq!(id(&hear(&mut again).expect("a call")), "w1");
-    assert!(told.elapsed().as_millis() >= 1990, "the wait was cut short: {:?}", told.elapsed());
+    assert!(
+        wait_requested.elapsed().as_millis() >= 1990,
+        "the wait was cut short: {:?}",
+        wait_requested.elapsed()
+    );
 }
 
 #[test]
-fn a_keyed_message_that_waits_keeps_its_key_and_body_through_a_handover() {
+fn a_waiting_message_keeps_its_idempotency_key_and_body_through_a_handover() {
     let scene = Scene::new("upgrade-keyed");
     let old = scene.start();
     let mut client = connect(&scene.listen());
     let keyed = |id: &str| {
-        let text = String::from_utf8(hand("warning-post", id, 1)).expect("text");
+        let text = String::from_utf8(submission("warning-post", id, 1)).expect("text");
         text.replace("X-Account", "Idempotency-Key: a key, unchanged\r\nX-Account").into_bytes()
     };
     assert_eq!(status(&mut client, &keyed("w1")), 202);
     let mut refused = accept(&scene.endpoints[1]);
     let first = hear(&mut refused).expect("a call");
     refused.write_all(b"HTTP/1.1 429 Full\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n").expect("written");
-    // Its outcome has reached the old one once the next message is answered.
-    assert_eq!(status(&mut client, &hand("status-update", "n1", 9)), 503);
+    // The answer to the next message shows that the old process has processed this outcome.
+    assert_eq!(status(&mut client, &submission("status-update", "n1", 9)), 503);
     let new = scene.start();
     let mut again = accept(&scene.endpoints[1]);
     let second = hear(&mut again).expect("a call");
-    let told =
+    let received =
         |heard: &Heard| (id(heard), heard.header("Idempotency-Key").map(String::from), heard.body.clone());
-    assert_eq!(told(&first), ("w1".into(), Some("a key, unchanged".into()), b"body".to_vec()));
-    assert_eq!(told(&second), told(&first));
+    assert_eq!(received(&first), ("w1".into(), Some("a key, unchanged".into()), b"body".to_vec()));
+    assert_eq!(received(&second), received(&first));
     again.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("written");
     drop((old, new));
 }
 
 #[test]
-fn a_relay_with_permits_and_facts_hands_over_and_the_new_one_has_the_link() {
+fn the_new_process_takes_over_the_peer_link() {
     let scene = Scene::new("upgrade-link");
     let free: Vec<_> = (0..2).map(|_| std::net::UdpSocket::bind("127.0.0.1:0").expect("a socket")).collect();
-    let notes: Vec<String> =
+    let addresses: Vec<String> =
         free.iter().map(|socket| socket.local_addr().expect("an address").to_string()).collect();
     let file = scene.folder.join("config.json");
     let text = std::fs::read_to_string(&file).expect("a file");
     let mut config: serde_json::Value = serde_json::from_str(&text).expect("JSON");
-    config["peer_listen"] = notes[0].clone().into();
-    config["peers"] = notes.clone().into();
+    config["peer_listen"] = addresses[0].clone().into();
+    config["peers"] = addresses.clone().into();
     config["settings"]["PeersTotal"] = 2.into();
     config["settings"]["MyNumber"] = 0.into();
     config["settings"]["Limits"]["Peers"] = true.into();
     std::fs::write(&file, config.to_string()).expect("a file");
-    // The other relay is this test: it hears who asks it.
+    // The test is the other relay, and receives the datagrams.
     let peer = free.into_iter().nth(1).expect("two sockets");
     peer.set_read_timeout(Some(FAR)).expect("a deadline");
     let both = [("TULIPFALL_NOTES", "on"), ("TULIPFALL_PERMITS", "parts")];
@@ -178,27 +184,27 @@
     old.wait_ready(1);
     let mut new = scene.launch_with(&both);
     new.wait_ready(1);
-    assert!(old.ended_well(), "with nothing left it goes by itself");
+    assert!(old.ended_well(), "a process with nothing left to do exits by itself");
     assert_eq!(order(&new.door, "GET", "/status").0, 200);
-    // What the old one said lies here still; what comes after all of that is the new one's.
+    // Datagrams of the old process are still in the buffer; those that follow come from the new one.
     let mut buffer = [0; 512];
     peer.set_nonblocking(true).expect("a socket");
     while peer.recv_from(&mut buffer).is_ok() {}
     peer.set_nonblocking(false).expect("a socket");
-    let (n, _) = peer.recv_from(&mut buffer).expect("a note of the new one");
-    let (head, _) = fleet::note::open(&fleet::keys::Keys::default(), &buffer[..n]).expect("it is read");
+    let (n, _) = peer.recv_from(&mut buffer).expect("a datagram of the new process");
+    let (head, _) = fleet::note::open(&fleet::keys::Keys::default(), &buffer[..n]).expect("a valid datagram");
     assert_eq!(head.from, 0);
 }
 
 #[test]
-fn the_old_one_goes_on_where_the_new_one_dies_and_a_second_upgrade_follows_the_first() {
+fn the_old_process_resumes_when_the_new_one_exits_and_a_second_handover_follows_the_first() {
     let scene = Scene::new("upgrade-twice");
     let old = scene.start();
     let mut kept = connect(&scene.listen());
-    assert_eq!(status(&mut kept, &hand("paid-extra", "c1", 0)), 202);
+    assert_eq!(status(&mut kept, &submission("paid-extra", "c1", 0)), 202);
     let mut call = accept(&scene.endpoints[0]);
     assert_eq!(id(&hear(&mut call).expect("a call")), "c1");
-    // One that says hello and no more, and one that says nonsense: lost on the way, or of another make.
+    // A process that disconnects at once, and two that send invalid frames.
     for bytes in [&b""[..], b"\x04\0\0\0\0\0\0\0nope", b"\xff\xff\xff\xff\0\0\0\0"] {
         let mut link = UnixStream::connect(scene.folder.join("state/handover")).expect("a link");
         link.write_all(bytes).expect("written");
@@ -210,24 +216,28 @@
         link.write_all(&bytes).expect("written");
         link
     };
-    // Another relay, and another version, are turned away and change nothing.
+    // Another relay and another version are rejected and change nothing.
     for (name, version) in [("n7", 1), ("n0", 4_000_000)] {
-        let mut said = Vec::new();
-        hello(name, version).read_to_end(&mut said).expect("an end");
-        assert!(String::from_utf8_lossy(&said).contains("TurnedAway"), "{said:?}");
+        let mut answer = Vec::new();
+        hello(name, version).read_to_end(&mut answer).expect("a close");
+        assert!(String::from_utf8_lossy(&answer).contains("TurnedAway"), "{answer:?}");
     }
-    // One that dies after it was told all.
+    // A process that exits after it has received the state.
     let mut link = hello("n0", 1);
     let mut lengths = [0; 8];
     link.read_exact(&mut lengths).expect("a state");
     assert_eq!(order(&old.door, "GET", "/status").1["state"], "handing over");
     drop(link);
     old.logged("was lost; this one goes on");
-    assert_eq!(status(&mut kept, &hand("status-update", "k1", 9)), 503, "it answers as ever");
+    assert_eq!(
+        status(&mut kept, &submission("status-update", "k1", 9)),
+        503,
+        "the old process answers again"
+    );
     assert_eq!(order(&old.door, "GET", "/status").0, 200);
 
     let mut second = scene.start();
-    // A third comes while the second has the first's call to wait for: it waits, and harms nothing.
+    // A third process starts while the second one waits for the first one's call: it waits, too.
     let mut third = scene.launch();
     call.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("written");
     third.wait_ready(1);
@@ -235,26 +245,26 @@
     assert!(second.ended_well());
     let mut fresh = connect(&scene.listen());
     assert_eq!(
-        status(&mut fresh, &hand("paid-extra", "c1", 0)),
+        status(&mut fresh, &submission("paid-extra", "c1", 0)),
         202,
-        "it ended lately: known as taken on before"
+        "it ended recently and counts as accepted before"
     );
-    assert_eq!(status(&mut fresh, &hand("status-update", "f1", 0)), 202);
+    assert_eq!(status(&mut fresh, &submission("status-update", "f1", 0)), 202);
     let mut call = accept(&scene.endpoints[0]);
-    assert_eq!(id(&hear(&mut call).expect("a call")), "f1", "the charge is not called again");
+    assert_eq!(id(&hear(&mut call).expect("a call")), "f1", "the non-idempotent call is not retried");
 }
 
-/// A word of the link, as it goes over.
-fn frame(word: &serde_json::Value) -> Vec<u8> {
-    let head = word.to_string();
+/// Encodes a message of the handover link.
+fn frame(message: &serde_json::Value) -> Vec<u8> {
+    let head = message.to_string();
     let mut bytes = (head.len() as u32).to_le_bytes().to_vec();
     bytes.extend_from_slice(&[0; 4]);
     bytes.extend_from_slice(head.as_bytes());
     bytes
 }
 
-/// The next word from the link, without a body.
-fn word(link: &mut UnixStream) -> Option<serde_json::Value> {
+/// Reads the next message from the handover link, without a body.
+fn read_message(link: &mut UnixStream) -> Option<serde_json::Value> {
     let mut lengths = [0; 8];
     link.read_exact(&mut lengths).ok()?;
     let head = u32::from_le_bytes([lengths[0], lengths[1], lengths[2], lengths[3]]);
@@ -264,50 +274,54 @@
 }
 
 #[test]
-fn a_death_in_the_middle_of_the_steps_leaves_a_folder_from_which_nothing_runs_twice() {
-    // Whoever takes over here dies after it was told, after it accepted, and after the old one let go; or the old one
-    // dies while it stands still.
+fn no_call_is_repeated_after_a_process_exits_in_the_middle_of_a_handover() {
+    // The new process exits after it has accepted, or after the old one has released the folder; or the old one is killed
+    // while it offers its state.
     for step in ["old, offering", "new, accepted", "new, let go"] {
         let scene = Scene::new(&format!("upgrade-step-{}", step.replace([',', ' '], "-")));
         let mut old = scene.start();
         let mut kept = connect(&scene.listen());
-        assert_eq!(status(&mut kept, &hand("paid-extra", "c1", 0)), 202);
+        assert_eq!(status(&mut kept, &submission("paid-extra", "c1", 0)), 202);
         let mut call = accept(&scene.endpoints[0]);
         assert_eq!(id(&hear(&mut call).expect("a call")), "c1");
-        assert_eq!(status(&mut kept, &hand("status-update", "s1", 9)), 503, "it is out for certain");
+        assert_eq!(status(&mut kept, &submission("status-update", "s1", 9)), 503, "its call is in flight");
         let mut link = UnixStream::connect(scene.folder.join("state/handover")).expect("a link");
         link.write_all(&frame(&serde_json::json!({"Hello": {"version": 1, "name": "n0"}}))).expect("written");
-        let state = word(&mut link).expect("a word");
+        let state = read_message(&mut link).expect("a message");
         assert_eq!(state["State"]["held"][0]["out"]["id"], "c1", "{state}");
         if step == "old, offering" {
             old.kill();
         } else {
             link.write_all(&frame(&serde_json::json!("Accept"))).expect("written");
             if step == "new, let go" {
-                assert_eq!(word(&mut link).expect("a word"), "LetGo");
+                assert_eq!(read_message(&mut link).expect("a message"), "LetGo");
             }
         }
         drop(link);
         if step != "old, offering" {
-            // It never serves again, and says so.
+            // The old process never serves again, and logs it.
             old.logged("the process that took over is gone");
-            assert_eq!(status(&mut kept, &hand("status-update", "k1", 0)), 503);
+            assert_eq!(status(&mut kept, &submission("status-update", "k1", 0)), 503);
             assert_eq!(order(&old.door, "GET", "/status").1["state"], "superseded");
         }
         let new = scene.start();
         let mut fresh = connect(&scene.listen());
-        assert_eq!(status(&mut fresh, &hand("status-update", "s2", 0)), 202);
+        assert_eq!(status(&mut fresh, &submission("status-update", "s2", 0)), 202);
         let mut next = accept(&scene.endpoints[0]);
-        assert_eq!(id(&hear(&mut next).expect("a call")), "s2", "{step}: the charge may have run");
+        assert_eq!(
+            id(&hear(&mut next).expect("a call")),
+            "s2",
+            "{step}: the non-idempotent call may have run and is not retried"
+        );
         drop((call, new));
     }
 }
 
 #[test]
-fn under_load_no_message_is_lost_or_runs_twice_and_no_client_is_refused_or_reset() {
+fn handovers_under_load_lose_and_repeat_no_message_and_refuse_no_client() {
     let scene = Scene::new("upgrade-load");
-    // An endpoint that answers everything, and notes what ran. Of the messages handed in some fifty wait at a time, so
-    // that none is refused for want of room.
+    // An endpoint that answers every call and reports the message. Clients keep at most about fifty messages waiting, so that
+    // none is refused for lack of room.
     let waiting = Arc::new((Mutex::new(0), Condvar::new()));
     let (ran, runs) = mpsc::channel();
     let endpoint = scene.endpoints[0].try_clone().expect("the socket");
@@ -339,10 +353,10 @@
                     let room = waiting.1.wait_timeout_while(count, FAR, |count| *count >= 50);
                     *room.expect("room").0 += 1;
                     let id = format!("{client}-{}", sent.len());
-                    let bytes = hand("paid-extra", &id, 0);
+                    let bytes = submission("paid-extra", &id, 0);
                     let heard = match ask(&mut stream, &bytes) {
                         Some(heard) => heard,
-                        // Closed between requests as this one was on its way: once more, on a new connection.
+                        // The connection was closed between requests: the request is sent again on a new one.
                         None => {
                             stream = connect(&listen);
                             ask(&mut stream, &bytes).expect("an answer on a new connection")
@@ -365,7 +379,7 @@
         .collect();
     let mut all: Vec<String> = Vec::new();
     for _ in 0..3 {
-        // Some hundred messages on each process.
+        // About a hundred messages in each process.
         all.extend(runs.iter().take(100));
         let new = scene.start();
         old.terminate();
@@ -375,9 +389,9 @@
     stop.store(true, Ordering::Relaxed);
     let mut sent: Vec<String> =
         clients.into_iter().flat_map(|client| client.join().expect("no client met an error")).collect();
-    // All that was taken on runs, and runs once.
+    // Every accepted message is sent once.
     while all.len() < sent.len() {
-        all.push(runs.recv_timeout(FAR).expect("what was taken on runs"));
+        all.push(runs.recv_timeout(FAR).expect("a call for each accepted message"));
     }
     old.terminate();
     assert!(old.ended_well());
@@ -388,55 +402,59 @@
 }
 
 #[test]
-fn a_death_after_the_handover_leaves_a_folder_from_which_nothing_runs_twice() {
-    for dies in ["old", "new", "both"] {
-        let scene = Scene::new(&format!("upgrade-dies-{dies}"));
+fn no_call_is_repeated_after_a_process_exits_after_a_handover() {
+    for killed in ["old", "new", "both"] {
+        let scene = Scene::new(&format!("upgrade-killed-{killed}"));
         let mut old = scene.start();
         let mut kept = connect(&scene.listen());
-        assert_eq!(status(&mut kept, &hand("paid-extra", "c1", 0)), 202);
+        assert_eq!(status(&mut kept, &submission("paid-extra", "c1", 0)), 202);
         let mut call = accept(&scene.endpoints[0]);
         assert_eq!(id(&hear(&mut call).expect("a call")), "c1");
         let mut new = scene.start();
         let mut fresh = connect(&scene.listen());
-        assert_eq!(status(&mut fresh, &hand("status-update", "s1", 1)), 202);
-        if dies != "new" {
+        assert_eq!(status(&mut fresh, &submission("status-update", "s1", 1)), 202);
+        if killed != "new" {
             old.kill();
         }
-        if dies == "old" {
+        if killed == "old" {
             new.logged("the old process has gone; 1 of its calls");
         } else {
             new.kill();
-            // What still comes at the old one is refused, and not taken on by one that owns nothing.
-            if dies == "new" {
-                assert_eq!(status(&mut kept, &hand("status-update", "k1", 1)), 503);
+            // Requests to the old process are refused, as it no longer owns the folder.
+            if killed == "new" {
+                assert_eq!(status(&mut kept, &submission("status-update", "k1", 1)), 503);
                 old.kill();
             }
             new = scene.start();
         }
         let mut fresh = connect(&scene.listen());
-        assert_eq!(status(&mut fresh, &hand("status-update", "s2", 0)), 202);
+        assert_eq!(status(&mut fresh, &submission("status-update", "s2", 0)), 202);
         let mut next = accept(&scene.endpoints[0]);
-        assert_eq!(id(&hear(&mut next).expect("a call")), "s2", "{dies}: the charge may have run");
+        assert_eq!(
+            id(&hear(&mut next).expect("a call")),
+            "s2",
+            "{killed}: the non-idempotent call may have run and is not retried"
+        );
         drop((call, new));
     }
 }
 
 #[test]
-fn what_the_old_process_hears_to_be_over_is_not_sent_on_though_either_process_dies() {
-    for dies in ["old", "new"] {
-        let scene = Scene::new(&format!("upgrade-heard-{dies}"));
+fn a_message_that_ended_by_an_early_answer_is_not_sent_again_after_either_process_exits() {
+    for killed in ["old", "new"] {
+        let scene = Scene::new(&format!("upgrade-heard-{killed}"));
         let mut old = scene.start();
         let mut kept = connect(&scene.listen());
-        assert_eq!(status(&mut kept, &hand("status-update", "s1", 0)), 202);
+        assert_eq!(status(&mut kept, &submission("status-update", "s1", 0)), 202);
         let mut call = accept(&scene.endpoints[0]);
         assert_eq!(id(&hear(&mut call).expect("a call")), "s1");
         let mut new = scene.launch_with(&[("TULIPFALL_LOG", "debug")]);
         new.wait_ready(1);
         call.write_all(b"HTTP/1.1 410 Gone\r\n").expect("written");
         new.logged("heard");
-        // What is accepted after that is stored behind it.
-        assert_eq!(status(&mut connect(&scene.listen()), &hand("status-update", "s0", 1)), 202);
-        if dies == "old" {
+        // The next message accepted is stored after the early answer.
+        assert_eq!(status(&mut connect(&scene.listen()), &submission("status-update", "s0", 1)), 202);
+        if killed == "old" {
             old.kill();
         } else {
             new.kill();
@@ -444,9 +462,9 @@
             new = scene.start();
         }
         let mut fresh = connect(&scene.listen());
-        assert_eq!(status(&mut fresh, &hand("status-update", "s2", 0)), 202);
+        assert_eq!(status(&mut fresh, &submission("status-update", "s2", 0)), 202);
         let mut next = accept(&scene.endpoints[0]);
-        assert_eq!(id(&hear(&mut next).expect("a call")), "s2", "{dies}: the message is over");
+        assert_eq!(id(&hear(&mut next).expect("a call")), "s2", "{killed}: the message has ended");
         drop((call, new));
     }
 }
@@ -460,7 +478,7 @@
         .env("PROXY_ACCEPT_FD", "77")
         .output()
         .expect("the program runs");
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(!output.status.success() && said.contains("PROXY_ACCEPT_FD: names descriptor 77"), "{said}");
-    assert!(!Path::new(&path("state")).exists(), "nothing was touched");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(!output.status.success() && stderr.contains("PROXY_ACCEPT_FD: names descriptor 77"), "{stderr}");
+    assert!(!Path::new(&path("state")).exists(), "the state folder is not created");
 }
