--- a/crates/control/src/shell/daemon.rs
+++ b/crates/control/src/shell/daemon.rs
@@ -5,8 +5,8 @@
 use consensus::{Micros, NodeId};
 use destinations::{ControlKeys, DestinationSet, KeyError, SignedChange};
 use fleet::Peer;
-use fleet::link::{self, Channel, Link};
-use fleet::note::{self, NoteError};
+use fleet::datagram::{self, DatagramError};
+use fleet::link::{self, Channel, PeerLink};
 use rollout::{Disagreement, Node};
 use thiserror::Error;
 use tokio::net::{TcpListener, UdpSocket};
@@ -62,7 +62,7 @@
     disk: LogFile,
     machine: Machine,
     keys: ControlKeys,
-    link: Link,
+    link: PeerLink,
     rollout: Node,
     notes: UdpSocket,
     frame_key: FrameKey,
@@ -147,7 +147,7 @@
         let others = config.controls.iter().filter(|(id, _)| **id != config.consensus.id);
         let senders = others.map(|(id, other)| (*id, Sender::spawn(other.consensus)));
         Ok(Daemon {
-            link: Link::new(link_config(&config, now), now),
+            link: PeerLink::new(link_config(&config, now), now),
             rollout: rollout_node(&config, &keys, DestinationSet::new(), None, now),
             frame_key: FrameKey::new(&config.cluster_key),
             senders: senders.collect(),
@@ -237,14 +237,14 @@
     fn hear(&mut self, note: &[u8]) {
         let heard = self.link.receive(self.clock.now_us(), note, &mut [&mut self.rollout]);
         // The link counts what it refuses. Who is not listed has a file with other machines.
-        if heard == Err(NoteError::Stranger) {
+        if heard == Err(DatagramError::Stranger) {
             self.count_stranger(note);
         }
     }
 
     /// Counts a note of the fleet, by the number of a sender that is not listed here, or is this machine's own.
     fn count_stranger(&mut self, note: &[u8]) {
-        let Ok((head, _)) = note::open(&self.config.link_keys, note) else { return };
+        let Ok((head, _)) = datagram::open(&self.config.link_keys, note) else { return };
         let count = self.strangers.entry(head.from).or_default();
         *count += 1;
         if *count == 1 {
@@ -360,7 +360,7 @@
         peers: config.links.keys().copied().collect(),
         keys: config.link_keys.clone(),
         bytes_per_s: LINK_BYTES_PER_S,
-        asks: false,
+        pings_silent_peers: false,
     }
 }
 
--- a/crates/control/tests/processes/relay.rs
+++ b/crates/control/tests/processes/relay.rs
@@ -7,7 +7,7 @@
 
 use destinations::{ControlKeys, DestinationSet, SigningKey, Version};
 use fleet::keys::{Key, Keys};
-use fleet::link::{Config, Link};
+use fleet::link::{Config, PeerLink};
 use rollout::Node;
 use rollout::topology::{Machine, Place, Role, Topology};
 
@@ -81,16 +81,16 @@
     relay
 }
 
-fn link(now: i64) -> Link {
+fn link(now: i64) -> PeerLink {
     let config = Config {
         me: RELAY,
         incarnation: fleet::incarnation(now),
         peers: (1..=MACHINES as u16).map(|machine| RELAY + machine).collect(),
         keys: Keys(vec![Key { id: 1, bytes: LINK_KEY.to_vec() }]),
         bytes_per_s: 16 * 1024,
-        asks: false,
+        pings_silent_peers: false,
     };
-    Link::new(config, now)
+    PeerLink::new(config, now)
 }
 
 fn node(now: i64) -> Node {
--- a/crates/escrow/src/lib.rs
+++ b/crates/escrow/src/lib.rs
@@ -17,7 +17,7 @@
 
 use std::collections::BTreeMap;
 
-use fleet::note::Stamp;
+use fleet::datagram::Stamp;
 use fleet::{Micros, Peer, SECOND};
 
 /// How often parts are lent again, and for how long.
--- a/crates/escrow/tests/worlds.rs
+++ b/crates/escrow/tests/worlds.rs
@@ -3,7 +3,7 @@
 //! used by two. With a guard taken out the explorer has to find the sequence of notes that breaks it.
 
 use escrow::{Loans, Part};
-use fleet::note::Stamp;
+use fleet::datagram::Stamp;
 use fleet::{Micros, Peer};
 use stateright::{Checker, Model, Property};
 
--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/datagram.rs
@@ -1,14 +1,14 @@
-//! The wire format: a datagram (note) of at most 256 bytes, and the protection against replayed ones.
+//! The wire format: a datagram of at most 256 bytes, and replay protection.
 //!
 //! Arbitrary input neither panics nor allocates more than a datagram's length.
 //!
 //! ```text
-//!     byte 0      version, 3 (1 and 2 are those of earlier builds)
+//!     byte 0      version, 3 (1 and 2 are of earlier builds)
 //!     byte 1      key id, 0 where there is no MAC
 //!     then        sender (varint), its start (4 bytes), its number (varint), when it was sent (4 bytes: the
-//!                 sender's clock in milliseconds, counted around)
-//!     then frames channel, length, bytes; a channel that is not known is skipped by its length
-//!     last 12     HMAC-SHA256 over all before, cut short, where there is a key
+//!                 sender's clock in milliseconds, which wraps)
+//!     then frames channel, length, bytes; an unknown channel is skipped by its length
+//!     last 12     truncated HMAC-SHA256 over all before, if there is a key
 //! ```
 
 use serde::{Deserialize, Serialize};
@@ -17,20 +17,20 @@
 use crate::{Micros, Peer};
 
 /// Maximum length of a datagram, in bytes.
-pub const MOST: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// Version of the wire format of this build.
 pub const VERSION: u8 = 3;
-/// Maximum length of the head, in bytes: version and key, sender, start, number, time.
-const HEAD: usize = 2 + 3 + 4 + 5 + 4;
+/// Maximum length of the header, in bytes: version and key, sender, incarnation, number, time.
+const MAX_HEADER_BYTES: usize = 2 + 3 + 4 + 5 + 4;
 /// Overhead of a frame, in bytes: its channel and length.
-pub const FRAME: usize = 2;
+pub const FRAME_OVERHEAD_BYTES: usize = 2;
 /// Number of datagrams, up to a sender's newest, for which it is remembered whether they arrived.
 const WINDOW: u32 = 64;
 
 /// Why a datagram has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
-pub enum NoteError {
-    /// It is shorter than a head, longer than [`MOST`], or a frame ends beyond it.
+pub enum DatagramError {
+    /// It is shorter than a header, longer than [`MAX_DATAGRAM_BYTES`], or a frame ends beyond it.
     #[error("malformed")]
     Malformed,
     /// It has another version.
@@ -45,7 +45,7 @@
     /// Its sender is not in the fleet, or is this relay itself.
     #[error("of nobody in the fleet")]
     Stranger,
-    /// It arrived before, or is of an earlier incarnation.
+    /// A duplicate, or of an earlier incarnation.
     #[error("a note that is over")]
     Replayed,
     /// It was delayed for too long.
@@ -73,29 +73,29 @@
     }
 }
 
-/// The head of a datagram.
+/// The header of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head {
+pub struct Header {
     /// The sender.
     pub from: Peer,
     /// The sender's incarnation, which grows from one start to the next.
     pub incarnation: u32,
-    /// The datagram's number since that start.
+    /// The datagram's sequence number within the incarnation.
     pub number: u32,
     /// When it was sent, by the sender's clock.
     pub sent: Stamp,
 }
 
-/// A datagram that was opened: its head, and its frames with their channels.
-pub type Note<'a> = (Head, Vec<(u8, &'a [u8])>);
+/// A decoded datagram: its header, and its frames with their channels.
+pub type OpenedDatagram<'a> = (Header, Vec<(u8, &'a [u8])>);
 
-/// Room for frames in a datagram, in bytes, including their overhead ([`FRAME`]).
-pub fn room(keys: &Keys) -> usize {
-    MOST - HEAD - keys.mac_len()
+/// Room for frames in a datagram, in bytes, including their overhead ([`FRAME_OVERHEAD_BYTES`]).
+pub fn frame_capacity(keys: &Keys) -> usize {
+    MAX_DATAGRAM_BYTES - MAX_HEADER_BYTES - keys.mac_len()
 }
 
-/// Encodes and signs a datagram. `None` where the frames exceed the [`room`].
-pub fn seal(keys: &Keys, head: &Head, frames: &[(u8, Vec<u8>)]) -> Option<Vec<u8>> {
+/// Encodes and signs a datagram. `None` if the frames exceed the [`frame_capacity`].
+pub fn seal(keys: &Keys, head: &Header, frames: &[(u8, Vec<u8>)]) -> Option<Vec<u8>> {
     let mut out = vec![VERSION, keys.first_id()];
     let (start, sent) = (head.incarnation.to_be_bytes(), head.sent.0.to_be_bytes());
     out.extend(postcard::to_allocvec(&(head.from, start, head.number, sent)).ok()?);
@@ -104,58 +104,58 @@
         out.extend(bytes);
     }
     keys.sign(&mut out);
-    (out.len() <= MOST).then_some(out)
+    (out.len() <= MAX_DATAGRAM_BYTES).then_some(out)
 }
 
-/// Verifies and decodes a datagram. Whether it is a replay is up to [`Replay`].
+/// Verifies and decodes a datagram. Replays are rejected by [`ReplayWindow`].
 ///
 /// # Errors
 /// Why it has no effect.
-pub fn open<'a>(keys: &Keys, bytes: &'a [u8]) -> Result<Note<'a>, NoteError> {
+pub fn open<'a>(keys: &Keys, bytes: &'a [u8]) -> Result<OpenedDatagram<'a>, DatagramError> {
     let (version, id) = match bytes {
-        [version, id, ..] if bytes.len() <= MOST => (*version, *id),
-        _ => return Err(NoteError::Malformed),
+        [version, id, ..] if bytes.len() <= MAX_DATAGRAM_BYTES => (*version, *id),
+        _ => return Err(DatagramError::Malformed),
     };
     if version != VERSION {
-        return Err(NoteError::Version(version));
+        return Err(DatagramError::Version(version));
     }
-    let body = keys.signed(id, bytes)?.get(2..).ok_or(NoteError::Malformed)?;
+    let body = keys.verify(id, bytes)?.get(2..).ok_or(DatagramError::Malformed)?;
     let read = postcard::take_from_bytes::<(Peer, [u8; 4], u32, [u8; 4])>(body);
-    let ((from, start, number, sent), mut rest) = read.map_err(|_| NoteError::Malformed)?;
+    let ((from, start, number, sent), mut rest) = read.map_err(|_| DatagramError::Malformed)?;
     let (incarnation, sent) = (u32::from_be_bytes(start), Stamp(u32::from_be_bytes(sent)));
     let mut frames = Vec::new();
     while let [channel, length, tail @ ..] = rest {
-        let (frame, next) = tail.split_at_checked(usize::from(*length)).ok_or(NoteError::Malformed)?;
+        let (frame, next) = tail.split_at_checked(usize::from(*length)).ok_or(DatagramError::Malformed)?;
         frames.push((*channel, frame));
         rest = next;
     }
     if !rest.is_empty() {
-        return Err(NoteError::Malformed);
+        return Err(DatagramError::Malformed);
     }
-    Ok((Head { from, incarnation, number, sent }, frames))
+    Ok((Header { from, incarnation, number, sent }, frames))
 }
 
 /// Replay protection for one sender: rejects duplicates, and datagrams of earlier incarnations.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Replay {
+pub struct ReplayWindow {
     incarnation: u32,
     newest: u32,
-    /// Bit n is set where the datagram `newest - n` has arrived.
+    /// Bit n is set if the datagram `newest - n` has arrived.
     seen: u64,
 }
 
-impl Replay {
+impl ReplayWindow {
     /// Accepts a datagram of this incarnation and number.
     ///
     /// # Errors
-    /// Where it is a replay.
-    pub fn take(&mut self, incarnation: u32, number: u32) -> Result<(), NoteError> {
+    /// If it is a replay.
+    pub fn accept(&mut self, incarnation: u32, number: u32) -> Result<(), DatagramError> {
         if incarnation > self.incarnation {
-            *self = Replay { incarnation, newest: number, seen: 1 };
+            *self = ReplayWindow { incarnation, newest: number, seen: 1 };
             return Ok(());
         }
         if incarnation < self.incarnation {
-            return Err(NoteError::Replayed);
+            return Err(DatagramError::Replayed);
         }
         if number > self.newest {
             self.seen = self.seen.checked_shl(number - self.newest).unwrap_or(0) | 1;
@@ -163,9 +163,9 @@
             return Ok(());
         }
         let behind = self.newest - number;
-        let bit = 1u64.checked_shl(behind).filter(|_| behind < WINDOW).ok_or(NoteError::Replayed)?;
+        let bit = 1u64.checked_shl(behind).filter(|_| behind < WINDOW).ok_or(DatagramError::Replayed)?;
         if self.seen & bit != 0 {
-            return Err(NoteError::Replayed);
+            return Err(DatagramError::Replayed);
         }
         self.seen |= bit;
         Ok(())
--- a/crates/fleet/src/frame.rs
+++ b/crates/fleet/src/frame.rs
@@ -7,7 +7,7 @@
 use serde::de::DeserializeOwned;
 
 use crate::Peer;
-use crate::link::Said;
+use crate::link::OutgoingFrame;
 
 /// Reads the items of a frame, up to the first that cannot be decoded, such as one that a later build added. Also
 /// returns whether all of the frame was decoded.
@@ -22,7 +22,7 @@
 }
 
 /// Packs items into frames of at most `room` bytes, in the order of each peer's items.
-pub fn pack(items: impl IntoIterator<Item = (Peer, Vec<u8>)>, room: usize) -> Vec<Said> {
+pub fn pack(items: impl IntoIterator<Item = (Peer, Vec<u8>)>, room: usize) -> Vec<OutgoingFrame> {
     let mut by_peer: BTreeMap<Peer, Vec<Vec<u8>>> = BTreeMap::new();
     for (to, bytes) in items {
         let frames = by_peer.entry(to).or_default();
@@ -31,6 +31,7 @@
             None => frames.push(bytes),
         }
     }
-    let said = |(to, frames): (Peer, Vec<Vec<u8>>)| frames.into_iter().map(move |bytes| Said { to, bytes });
-    by_peer.into_iter().flat_map(said).collect()
+    let outgoing =
+        |(to, frames): (Peer, Vec<Vec<u8>>)| frames.into_iter().map(move |bytes| OutgoingFrame { to, bytes });
+    by_peer.into_iter().flat_map(outgoing).collect()
 }
--- a/crates/fleet/src/keys.rs
+++ b/crates/fleet/src/keys.rs
@@ -3,10 +3,10 @@
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 
-use crate::note::NoteError;
+use crate::datagram::DatagramError;
 
 /// Length of a MAC, in bytes.
-pub const MAC: usize = 12;
+pub const MAC_BYTES: usize = 12;
 
 /// A key that authenticates datagrams.
 #[derive(Clone)]
@@ -36,7 +36,7 @@
 impl Keys {
     /// Length of the MAC in bytes, 0 without a key.
     pub fn mac_len(&self) -> usize {
-        if self.0.is_empty() { 0 } else { MAC }
+        if self.0.is_empty() { 0 } else { MAC_BYTES }
     }
 
     /// The id of the key that signs, 0 without a key.
@@ -47,22 +47,22 @@
     /// Appends the MAC, if there is a key.
     pub fn sign(&self, out: &mut Vec<u8>) {
         if let Some(mac) = self.0.first().and_then(|key| mac(key, out)) {
-            out.extend(mac.finalize().into_bytes().iter().take(MAC));
+            out.extend(mac.finalize().into_bytes().iter().take(MAC_BYTES));
         }
     }
 
     /// Verifies the MAC by the key of this id. Returns the bytes without it.
     ///
     /// # Errors
-    /// Where the key is unknown, the MAC is wrong or there is no room for one.
-    pub fn signed<'a>(&self, id: u8, bytes: &'a [u8]) -> Result<&'a [u8], NoteError> {
+    /// If the key is unknown, the MAC is wrong or the datagram is too short for one.
+    pub fn verify<'a>(&self, id: u8, bytes: &'a [u8]) -> Result<&'a [u8], DatagramError> {
         if self.0.is_empty() {
-            return if id == 0 { Ok(bytes) } else { Err(NoteError::UnknownKey(id)) };
+            return if id == 0 { Ok(bytes) } else { Err(DatagramError::UnknownKey(id)) };
         }
-        let key = self.0.iter().find(|key| key.id == id).ok_or(NoteError::UnknownKey(id))?;
-        let signed = bytes.len().checked_sub(MAC).and_then(|at| bytes.split_at_checked(at));
-        let (signed, code) = signed.ok_or(NoteError::Malformed)?;
+        let key = self.0.iter().find(|key| key.id == id).ok_or(DatagramError::UnknownKey(id))?;
+        let signed = bytes.len().checked_sub(MAC_BYTES).and_then(|at| bytes.split_at_checked(at));
+        let (signed, code) = signed.ok_or(DatagramError::Malformed)?;
         let right = mac(key, signed).is_some_and(|mac| mac.verify_truncated_left(code).is_ok());
-        if right { Ok(signed) } else { Err(NoteError::Forged) }
+        if right { Ok(signed) } else { Err(DatagramError::Forged) }
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,20 +1,20 @@
-//! The transport between relays: datagrams (notes) of at most 256 bytes on one socket, which may be lost, duplicated,
-//! delayed or forged.
+//! The transport between relays: datagrams of at most 256 bytes on one socket, which may be lost, duplicated, delayed or
+//! forged.
 //!
-//! [`keys`] authenticates, [`note`] is the wire format, [`members`] the membership, [`updates`] what is passed on of it, [`lateness`] the estimate of
-//! delays, and [`link`] puts them together under one limit of bytes. Relays exchange messages on [`link::Channel`]s,
-//! each with its own codec, limits and priority; a build skips channels that it does not know. These are state machines
-//! without I/O: datagrams and the time go in, datagrams come out.
+//! [`keys`] authenticates datagrams, [`datagram`] is the wire format, [`members`] the membership, [`updates`] its
+//! dissemination, [`delay`] the estimate of delays, and [`link`] combines them under one byte budget. Relays exchange items on
+//! [`link::Channel`]s, each with its own codec, limits and priority; a build skips channels that it does not know. These are
+//! state machines without I/O: datagrams and the time go in, datagrams come out.
 //!
-//! Dependencies point one way: `keys` ← `note` ← `updates` ← `members`, `lateness` ← `link` ← [`frame`].
+//! Dependencies point one way: `keys` ← `datagram` ← `updates` ← `members`, `delay` ← `link` ← [`frame`].
 #![forbid(unsafe_code)]
 
+pub mod datagram;
+pub mod delay;
 pub mod frame;
 pub mod keys;
-pub mod lateness;
 pub mod link;
 pub mod members;
-pub mod note;
 pub mod updates;
 
 /// A time by this relay's clock, or a duration, in microseconds.
@@ -32,8 +32,8 @@
     u32::try_from((now - EPOCH) / (SECOND / 10)).unwrap_or(0)
 }
 
-/// The relay, of `relays`, that is responsible for a destination: the nearest one by rendezvous hashing, avoided ones
-/// last. `None` where there are no relays.
+/// The relay, of `relays`, that is responsible for a destination: the one of the highest rendezvous weight, avoided ones
+/// last. `None` if there are no relays.
 pub fn nearest(destination: i64, relays: Peer, avoided: impl Fn(Peer) -> bool) -> Option<Peer> {
     (0..relays).max_by_key(|peer| (!avoided(*peer), rendezvous(destination, *peer)))
 }
--- a/crates/fleet/src/updates.rs
+++ b/crates/fleet/src/updates.rs
@@ -9,12 +9,12 @@
 
 /// An update is passed on this many times for each power of ten that the number of relays reaches. By then all but a
 /// vanishing part of the fleet has it: of `n` receivers of `n * k` random messages some `n * exp(-k)` got none.
-const SENT_FOR_EACH_DECADE: u32 = 3;
+const SENDS_PER_DECADE: u32 = 3;
 
 /// The state of a peer, in the order in which reports on one incarnation override each other: a later one goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Standing {
-    /// It has been heard.
+pub enum MemberState {
+    /// Datagrams of it arrive.
     Alive,
     /// It did not answer a ping, and may refute the suspicion.
     Suspect,
@@ -30,7 +30,7 @@
     /// Its incarnation.
     pub incarnation: u32,
     /// Its new state.
-    pub standing: Standing,
+    pub state: MemberState,
 }
 
 /// An update that waits to be passed on.
@@ -38,7 +38,7 @@
 struct Pending {
     update: Update,
     /// How many times it is still to be sent.
-    left: u32,
+    remaining: u32,
 }
 
 /// The latest change of each peer that still has to be passed on.
@@ -50,11 +50,11 @@
 impl Updates {
     /// Adds an update in a fleet of this many relays; it replaces an earlier one about the same peer.
     pub(crate) fn add(&mut self, update: Update, relays: usize) {
-        let left = SENT_FOR_EACH_DECADE * relays.max(2).ilog10().saturating_add(1);
-        self.pending.insert(update.peer, Pending { update, left });
+        let remaining = SENDS_PER_DECADE * relays.max(2).ilog10().saturating_add(1);
+        self.pending.insert(update.peer, Pending { update, remaining });
     }
 
-    /// Drops what was to be said of a peer.
+    /// Drops the update about a peer.
     pub(crate) fn forget(&mut self, peer: Peer) {
         self.pending.remove(&peer);
     }
@@ -68,12 +68,12 @@
         self.pending.is_empty()
     }
 
-    /// Takes up to `most` updates for one datagram, those that were sent the fewest times first.
-    pub(crate) fn take(&mut self, most: usize) -> Vec<Update> {
+    /// Takes up to `max_count` updates for one datagram, those that were sent the fewest times first.
+    pub(crate) fn take(&mut self, max_count: usize) -> Vec<Update> {
         let mut order: Vec<(u32, Peer)> =
-            self.pending.iter().map(|(peer, pending)| (pending.left, *peer)).collect();
-        order.sort_unstable_by_key(|(left, peer)| (std::cmp::Reverse(*left), *peer));
-        order.truncate(most);
+            self.pending.iter().map(|(peer, pending)| (pending.remaining, *peer)).collect();
+        order.sort_unstable_by_key(|(remaining, peer)| (std::cmp::Reverse(*remaining), *peer));
+        order.truncate(max_count);
         order.into_iter().filter_map(|(_, peer)| self.send(peer)).collect()
     }
 
@@ -81,8 +81,8 @@
     fn send(&mut self, peer: Peer) -> Option<Update> {
         let pending = self.pending.get_mut(&peer)?;
         let update = pending.update;
-        pending.left = pending.left.saturating_sub(1);
-        if pending.left == 0 {
+        pending.remaining = pending.remaining.saturating_sub(1);
+        if pending.remaining == 0 {
             self.pending.remove(&peer);
         }
         Some(update)
--- a/crates/peers/src/alone.rs
+++ b/crates/peers/src/alone.rs
@@ -1,7 +1,7 @@
 //! A node with a link of its own: where facts are all that relays tell each other, as in simulated tiers and proofs.
 
-use fleet::link::{self, Counts, Link, Out};
-use fleet::note::NoteError;
+use fleet::datagram::DatagramError;
+use fleet::link::{self, LinkCounters, OutgoingDatagram, PeerLink};
 
 use crate::fact::{Fact, Micros};
 use crate::node::{Config, Node};
@@ -10,7 +10,7 @@
 #[derive(Debug)]
 pub struct Alone {
     /// The link.
-    pub link: Link,
+    pub link: PeerLink,
     /// The facts.
     pub facts: Node,
 }
@@ -18,20 +18,20 @@
 impl Alone {
     /// A relay that starts now.
     pub fn new(link: link::Config, facts: Config, now: Micros) -> Self {
-        Alone { link: Link::new(link, now), facts: Node::new(facts, now) }
+        Alone { link: PeerLink::new(link, now), facts: Node::new(facts, now) }
     }
 
     /// Takes a datagram; the facts in it that are news.
     ///
     /// # Errors
     /// Why it has no effect; it is counted and nothing else.
-    pub fn receive(&mut self, now: Micros, bytes: &[u8]) -> Result<Vec<Fact>, NoteError> {
+    pub fn receive(&mut self, now: Micros, bytes: &[u8]) -> Result<Vec<Fact>, DatagramError> {
         self.link.receive(now, bytes, &mut [&mut self.facts])?;
         Ok(self.facts.take_news())
     }
 
     /// Datagrams to send now.
-    pub fn poll(&mut self, now: Micros) -> Vec<Out> {
+    pub fn poll(&mut self, now: Micros) -> Vec<OutgoingDatagram> {
         self.link.poll(now, &mut [&mut self.facts])
     }
 
@@ -41,7 +41,7 @@
     }
 
     /// What was counted.
-    pub fn counts(&self) -> &Counts {
+    pub fn counts(&self) -> &LinkCounters {
         self.link.counts()
     }
 
--- a/crates/peers/src/node.rs
+++ b/crates/peers/src/node.rs
@@ -4,9 +4,9 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use fleet::link::{Channel, Said, Sender};
+use fleet::datagram::FRAME_OVERHEAD_BYTES;
+use fleet::link::{Channel, OutgoingFrame, Sender};
 use fleet::members::Members;
-use fleet::note::FRAME;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -118,8 +118,8 @@
 
     /// Another set of peers, as on a reload.
     pub fn replaced(&mut self, members: &Members) {
-        self.ledger.trust.retain(|peer| members.has(peer));
-        self.answers.retain(|answer| members.has(answer.to));
+        self.ledger.trust.retain(|peer| members.contains(peer));
+        self.answers.retain(|answer| members.contains(answer.to));
     }
 
     /// This relay saw something of a destination; `traffic` is what it sends there, in calls a second. Tells whether
@@ -139,7 +139,7 @@
 
     /// What an earlier process of this relay saw or heard then.
     pub fn restore(&mut self, now: Micros, members: &Members, fact: Fact) {
-        if members.has(fact.source) || fact.source == self.config.me {
+        if members.contains(fact.source) || fact.source == self.config.me {
             self.ledger.restore(now, fact);
         }
     }
@@ -151,7 +151,7 @@
     }
 
     fn fact(&mut self, now: Micros, from: &Sender, members: &Members, told: &Told) {
-        let sent = now - from.late;
+        let sent = now - from.delay;
         let fact = Fact {
             destination: told.destination,
             known: told.known.shifted(sent),
@@ -164,7 +164,7 @@
         }
         let kind = fact.known.kind();
         let before = self.ledger.believed(now, fact.destination, kind).map(|(fact, _)| fact.known);
-        if members.has(fact.source) && self.ledger.hear(now, fact) {
+        if members.contains(fact.source) && self.ledger.hear(now, fact) {
             self.news_count += 1;
             if self.news.len() < MOST_WAITING {
                 self.news.push(fact);
@@ -204,7 +204,9 @@
     }
 
     /// A piece of changes, to all that are to have it; how many bytes it took, if there was one.
-    fn tell_changes(&mut self, now: Micros, members: &Members, room: usize, out: &mut Vec<Said>) -> usize {
+    fn tell_changes(
+        &mut self, now: Micros, members: &Members, room: usize, out: &mut Vec<OutgoingFrame>,
+    ) -> usize {
         if self.changes.is_empty() {
             return 0;
         }
@@ -219,18 +221,18 @@
             return 1;
         }
         let took = to.len() * cost(&items);
-        out.extend(to.into_iter().map(|to| Said { to, bytes: items.clone() }));
+        out.extend(to.into_iter().map(|to| OutgoingFrame { to, bytes: items.clone() }));
         took.max(1)
     }
 
     /// A piece for one of those who asked, in turn; how many bytes it took, if there was one.
-    fn answer(&mut self, now: Micros, room: usize, out: &mut Vec<Said>) -> usize {
+    fn answer(&mut self, now: Micros, room: usize, out: &mut Vec<OutgoingFrame>) -> usize {
         let Some(at) = self.answers.iter().position(|answer| answer.from <= now) else { return 0 };
         let Some(mut answer) = self.answers.remove(at) else { return 0 };
         let bytes = self.fill(now, room, &mut answer.keys);
         let took = cost(&bytes);
         if !bytes.is_empty() {
-            out.push(Said { to: answer.to, bytes });
+            out.push(OutgoingFrame { to: answer.to, bytes });
         }
         if !answer.keys.is_empty() {
             self.answers.push_back(answer);
@@ -299,7 +301,7 @@
         CHANNEL
     }
 
-    fn hear(&mut self, now: Micros, from: &Sender, members: &Members, bytes: &[u8]) -> bool {
+    fn receive_frame(&mut self, now: Micros, from: &Sender, members: &Members, bytes: &[u8]) -> bool {
         let Some((items, skipped)) = read(bytes) else { return false };
         for item in items {
             match item {
@@ -310,7 +312,9 @@
         skipped == 0
     }
 
-    fn say(&mut self, now: Micros, members: &Members, room: usize, allowance: usize) -> Vec<Said> {
+    fn poll_frames(
+        &mut self, now: Micros, members: &Members, room: usize, allowance: usize,
+    ) -> Vec<OutgoingFrame> {
         if now >= self.forget_at {
             self.forget_at = now + FORGET;
             self.ledger.forget(now);
@@ -321,19 +325,22 @@
         }
         let (mut out, mut left) = (Vec::new(), allowance);
         // A piece begins only where a whole note of it is allowed; one to several peers may go beyond by theirs.
-        while left >= fleet::note::MOST {
+        while left >= fleet::datagram::MAX_DATAGRAM_BYTES {
             let Some((to, item)) = (!self.short.is_empty()).then(|| self.short.remove(0)) else { break };
             let mut bytes = item.encode();
             self.add_changes(now, room, &mut bytes);
             left = left.saturating_sub(cost(&bytes));
-            out.push(Said { to, bytes });
+            out.push(OutgoingFrame { to, bytes });
         }
         // Who starts and what changes take turns, so that neither waits for the other's end.
-        while left >= fleet::note::MOST {
+        while left >= fleet::datagram::MAX_DATAGRAM_BYTES {
             let answered = self.answer(now, room, &mut out);
             left = left.saturating_sub(answered);
-            let told =
-                if left >= fleet::note::MOST { self.tell_changes(now, members, room, &mut out) } else { 0 };
+            let told = if left >= fleet::datagram::MAX_DATAGRAM_BYTES {
+                self.tell_changes(now, members, room, &mut out)
+            } else {
+                0
+            };
             left = left.saturating_sub(told);
             if answered + told == 0 {
                 break;
@@ -354,7 +361,7 @@
 /// What a piece takes of the budget, with its part of a note's head.
 fn cost(bytes: &[u8]) -> usize {
     const HEAD: usize = 16;
-    if bytes.is_empty() { 0 } else { bytes.len() + FRAME + HEAD }
+    if bytes.is_empty() { 0 } else { bytes.len() + FRAME_OVERHEAD_BYTES + HEAD }
 }
 
 /// Worth telling at once: trouble begun or over, and a wait that was told.
--- a/crates/peers/tests/network.rs
+++ b/crates/peers/tests/network.rs
@@ -4,9 +4,9 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
+use fleet::datagram::{DatagramError, MAX_DATAGRAM_BYTES};
 use fleet::keys::{Key, Keys};
 use fleet::link;
-use fleet::note::{MOST, NoteError};
 use peers::alone::Alone;
 use peers::fact::{Kind, Known, Micros, Peer, SECOND};
 use peers::node::Config;
@@ -46,7 +46,7 @@
         peers: (0..n as Peer).collect(),
         keys: keys.clone(),
         bytes_per_s: 8_000,
-        asks: true,
+        pings_silent_peers: true,
     };
     let seed = if asks { 99 } else { me as u64 };
     Alone::new(link, Config { me: me as Peer, most_facts: 4_000, seed, asks }, now)
@@ -90,7 +90,7 @@
                 }
                 let now = self.clock(n);
                 for out in self.nodes[n].0.poll(now) {
-                    assert!(out.bytes.len() <= MOST);
+                    assert!(out.bytes.len() <= MAX_DATAGRAM_BYTES);
                     self.count += 1;
                     let copies = 1 + usize::from(self.rng.random_bool(self.weather.doubled));
                     for _ in 0..copies {
@@ -267,9 +267,9 @@
         assert_eq!(receiver.receive(START + 5000, &note(sends)).expect("taken").len(), 1);
     }
     let mut receiver = node(1, &both);
-    assert_eq!(receiver.receive(START, &note(&Keys::default())), Err(NoteError::UnknownKey(0)));
+    assert_eq!(receiver.receive(START, &note(&Keys::default())), Err(DatagramError::UnknownKey(0)));
     let sound = note(&old);
     receiver.receive(START + 5000, &sound).expect("taken");
-    assert_eq!(receiver.receive(START + 6000, &sound), Err(NoteError::Replayed));
+    assert_eq!(receiver.receive(START + 6000, &sound), Err(DatagramError::Replayed));
     assert_eq!(receiver.counts().ignored(), 2);
 }
--- a/crates/permits/src/earlier.rs
+++ b/crates/permits/src/earlier.rs
@@ -9,8 +9,8 @@
 //! ```
 
 use fleet::Peer;
+use fleet::datagram::{DatagramError, MAX_DATAGRAM_BYTES};
 use fleet::keys::Keys;
-use fleet::note::{MOST, NoteError};
 use serde::{Deserialize, Serialize};
 
 use crate::Tiers;
@@ -75,24 +75,24 @@
         let mut out = vec![VERSION, keys.first_id()];
         out.extend(postcard::to_allocvec(&(self.from, self.incarnation, self.number, &items)).ok()?);
         keys.sign(&mut out);
-        (out.len() <= MOST && !items.is_empty()).then_some(out)
+        (out.len() <= MAX_DATAGRAM_BYTES && !items.is_empty()).then_some(out)
     }
 
     /// Reads a note; items that make no sense are left out.
     ///
     /// # Errors
     /// Why it has no effect.
-    pub fn open(bytes: &[u8], keys: &Keys) -> Result<Self, NoteError> {
+    pub fn open(bytes: &[u8], keys: &Keys) -> Result<Self, DatagramError> {
         let (version, id) = match bytes {
-            [version, id, ..] if bytes.len() <= MOST => (*version, *id),
-            _ => return Err(NoteError::Malformed),
+            [version, id, ..] if bytes.len() <= MAX_DATAGRAM_BYTES => (*version, *id),
+            _ => return Err(DatagramError::Malformed),
         };
         if version != VERSION {
-            return Err(NoteError::Version(version));
+            return Err(DatagramError::Version(version));
         }
-        let body = keys.signed(id, bytes)?.get(2..).unwrap_or_default();
+        let body = keys.verify(id, bytes)?.get(2..).unwrap_or_default();
         let read = postcard::from_bytes::<(Peer, u32, u32, Vec<Earlier>)>(body);
-        let (from, incarnation, number, items) = read.map_err(|_| NoteError::Malformed)?;
+        let (from, incarnation, number, items) = read.map_err(|_| DatagramError::Malformed)?;
         let items = items.into_iter().map(Earlier::item).filter(sound).collect();
         Ok(Note { from, incarnation, number, items })
     }
--- a/crates/permits/src/node/asking.rs
+++ b/crates/permits/src/node/asking.rs
@@ -1,7 +1,7 @@
 //! What a relay knows of a destination for which it asks stewards, and of other relays as stewards.
 
 use escrow::Part;
-use fleet::note::Stamp;
+use fleet::datagram::Stamp;
 
 use crate::{Micros, Peer, SECOND, Tiers};
 
--- a/crates/permits/src/node/channel.rs
+++ b/crates/permits/src/node/channel.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use fleet::frame;
-use fleet::link::{Channel, Said, Sender};
+use fleet::link::{Channel, OutgoingFrame, Sender};
 use fleet::members::Members;
 
 use crate::note::{CHANNEL, Item, read};
@@ -18,11 +18,11 @@
     }
 
     /// Permits wait for nothing; their cost is bounded by wants and calls.
-    fn bound(&self) -> bool {
+    fn is_budgeted(&self) -> bool {
         false
     }
 
-    fn hear(&mut self, now: Micros, from: &Sender, _: &Members, bytes: &[u8]) -> bool {
+    fn receive_frame(&mut self, now: Micros, from: &Sender, _: &Members, bytes: &[u8]) -> bool {
         let way = self.heard.get(&from.peer).and_then(|heard| heard.way);
         self.heard.insert(from.peer, Heard { at: now, stamp: from.sent, way });
         self.avoided.remove(&from.peer);
@@ -32,7 +32,7 @@
         made_sense
     }
 
-    fn say(&mut self, now: Micros, _: &Members, room: usize, _: usize) -> Vec<Said> {
+    fn poll_frames(&mut self, now: Micros, _: &Members, room: usize, _: usize) -> Vec<OutgoingFrame> {
         if self.parts() {
             self.say_loans(now)
         } else {
--- a/crates/permits/src/node/compat.rs
+++ b/crates/permits/src/node/compat.rs
@@ -1,8 +1,8 @@
 //! Compatibility with relays of the previous build, whose datagrams have a form of their own.
 
+use fleet::datagram::{DatagramError, Stamp};
 use fleet::keys::Keys;
-use fleet::link::{Out, Sender};
-use fleet::note::{NoteError, Stamp};
+use fleet::link::{OutgoingDatagram, Sender};
 
 use crate::Micros;
 use crate::earlier;
@@ -18,16 +18,16 @@
     ///
     /// # Errors
     /// Why it has no effect.
-    pub fn hear_earlier(&mut self, now: Micros, bytes: &[u8], keys: &Keys) -> Result<(), NoteError> {
+    pub fn hear_earlier(&mut self, now: Micros, bytes: &[u8], keys: &Keys) -> Result<(), DatagramError> {
         let note = earlier::Note::open(bytes, keys)?;
         if note.from == self.config.me || note.from >= self.config.relays {
-            return Err(NoteError::Stranger);
+            return Err(DatagramError::Stranger);
         }
-        self.earlier.entry(note.from).or_default().take(note.incarnation, note.number)?;
+        self.earlier.entry(note.from).or_default().accept(note.incarnation, note.number)?;
         self.avoided.remove(&note.from);
         // That build knows of no parts: by asking, a relay lends its own part to the relay that it asks.
         let sent = Stamp::of(now);
-        let from = Sender { peer: note.from, incarnation: note.incarnation, sent, late: 0 };
+        let from = Sender { peer: note.from, incarnation: note.incarnation, sent, delay: 0 };
         for mut item in note.items {
             if let Item::Want { stamp, .. } = &mut item {
                 *stamp = Some(sent);
@@ -38,12 +38,12 @@
     }
 
     /// Datagrams for relays of the previous build.
-    pub fn say_earlier(&mut self, keys: &Keys) -> Vec<Out> {
+    pub fn say_earlier(&mut self, keys: &Keys) -> Vec<OutgoingDatagram> {
         let mut out = Vec::new();
         for (to, items) in std::mem::take(&mut self.to_earlier) {
             for items in items.chunks(EARLIER_ITEMS) {
                 let bytes = self.earlier_note(items.to_vec()).seal(keys);
-                out.extend(bytes.map(|bytes| Out { to, bytes }));
+                out.extend(bytes.map(|bytes| OutgoingDatagram { to, bytes }));
             }
         }
         out
--- a/crates/permits/src/node/loans.rs
+++ b/crates/permits/src/node/loans.rs
@@ -1,6 +1,6 @@
 //! Requests and loans where each relay owns a part of the limit.
 
-use fleet::note::Stamp;
+use fleet::datagram::Stamp;
 use fleet::rendezvous;
 
 use crate::note::Item;
--- a/crates/permits/src/node/mod.rs
+++ b/crates/permits/src/node/mod.rs
@@ -16,8 +16,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use escrow::{Part, Terms};
+use fleet::datagram::{ReplayWindow, Stamp};
 use fleet::nearest;
-use fleet::note::{Replay, Stamp};
 use overload::waits::Waits;
 
 use crate::note::{Item, MOST_TIERS};
@@ -106,7 +106,7 @@
     /// Stamps of the requests that the next message answers.
     echoes: BTreeMap<Peer, Stamp>,
     /// Relays of the previous build, with the replay protection for their datagrams.
-    earlier: BTreeMap<Peer, Replay>,
+    earlier: BTreeMap<Peer, ReplayWindow>,
     /// Number of the last datagram in the earlier form.
     number: u32,
     out: Vec<(Peer, Item)>,
--- a/crates/permits/src/node/receive.rs
+++ b/crates/permits/src/node/receive.rs
@@ -1,7 +1,7 @@
 //! Items that arrive from other relays.
 
+use fleet::datagram::Stamp;
 use fleet::link::Sender;
-use fleet::note::Stamp;
 use overload::waits::Waits;
 
 use crate::note::Item;
@@ -28,7 +28,7 @@
                 self.counted(of);
                 self.answered(now, from, stamp);
                 let young = Micros::from(age) * AGE_STEP <= LATE;
-                let usable = !self.parts() || from.late <= LATE && young;
+                let usable = !self.parts() || from.delay <= LATE && young;
                 self.permitted(now, from.peer, destination, total, few, usable);
             }
             Item::Rate { destination, per_s, stamp, of } => {
--- a/crates/permits/src/note.rs
+++ b/crates/permits/src/note.rs
@@ -1,7 +1,7 @@
 //! What relays tell stewards and stewards tell relays, as items in a frame of the link. Owns their layout. It must never
 //! panic on whatever comes.
 
-use fleet::note::Stamp;
+use fleet::datagram::Stamp;
 use serde::{Deserialize, Serialize};
 
 use crate::Tiers;
--- a/crates/permits/src/steward.rs
+++ b/crates/permits/src/steward.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use escrow::slot;
-use fleet::note::Stamp;
+use fleet::datagram::Stamp;
 use overload::waits::Waits;
 
 use crate::limit::{Limit, WANTS_FOR};
--- a/crates/permits/tests/fleet.rs
+++ b/crates/permits/tests/fleet.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
+use fleet::datagram::{DatagramError, Stamp};
 use fleet::keys::{Key, Keys};
-use fleet::link::{self, Link};
-use fleet::note::{NoteError, Stamp};
+use fleet::link::{self, PeerLink};
 use permits::earlier::Note;
 use permits::held::{Gate, Held};
 use permits::node::{Config, Node};
@@ -31,28 +31,31 @@
 
 /// A relay's link with its channel of permits.
 struct Relay {
-    link: Link,
+    link: PeerLink,
     permits: Node,
 }
 
 impl Relay {
     fn new(me: Peer, (relays, sharing): (Peer, Sharing), incarnation: u32, keys: Keys, now: Micros) -> Self {
         let peers = (0..relays).collect();
-        let link = link::Config { me, incarnation, peers, keys, bytes_per_s: 4000, asks: false };
+        let link =
+            link::Config { me, incarnation, peers, keys, bytes_per_s: 4000, pings_silent_peers: false };
         let config = Config { me, relays, incarnation, cold: COLD, sharing, follows: false };
-        Relay { link: Link::new(link, now), permits: Node::new(config, now) }
+        Relay { link: PeerLink::new(link, now), permits: Node::new(config, now) }
     }
 
-    fn poll(&mut self, now: Micros) -> Vec<fleet::link::Out> {
+    fn poll(&mut self, now: Micros) -> Vec<fleet::link::OutgoingDatagram> {
         let mut out = self.link.poll(now, &mut [&mut self.permits]);
         out.extend(self.permits.say_earlier(&self.link.keys().clone()));
         out
     }
 
     /// As the shell does it: what another version says goes to the channel that knows it.
-    fn receive(&mut self, now: Micros, bytes: &[u8]) -> Result<(), NoteError> {
+    fn receive(&mut self, now: Micros, bytes: &[u8]) -> Result<(), DatagramError> {
         match self.link.receive(now, bytes, &mut [&mut self.permits]) {
-            Err(NoteError::Version(2)) => self.permits.hear_earlier(now, bytes, &self.link.keys().clone()),
+            Err(DatagramError::Version(2)) => {
+                self.permits.hear_earlier(now, bytes, &self.link.keys().clone())
+            }
             taken => taken,
         }
     }
@@ -179,7 +182,7 @@
                 match self.what.remove(&number) {
                     Some(What::Note(to, bytes)) if !self.dead.contains(&to) => {
                         let taken = self.nodes[usize::from(to)].receive(self.now, &bytes);
-                        assert!(matches!(taken, Ok(()) | Err(NoteError::Replayed)), "{taken:?}");
+                        assert!(matches!(taken, Ok(()) | Err(DatagramError::Replayed)), "{taken:?}");
                     }
                     Some(What::Arrives(to)) => self.waiting[usize::from(to)] += 1,
                     Some(What::Ends(by, sign, began)) => {
@@ -361,10 +364,10 @@
         other[byte] ^= 1;
         assert!(steward.receive(0, &other).is_err(), "byte {byte} changed");
     }
-    assert_eq!(steward.receive(0, &note(2, 5, 1, &key(2))), Err(NoteError::Forged));
-    assert_eq!(steward.receive(0, &note(2, 5, 1, &Keys::default())), Err(NoteError::UnknownKey(0)));
-    assert_eq!(steward.receive(0, &note(RELAYS, 5, 1, &key(1))), Err(NoteError::Stranger), "of no relay");
-    assert_eq!(steward.receive(0, &vec![2; 300]), Err(NoteError::Malformed), "too long");
+    assert_eq!(steward.receive(0, &note(2, 5, 1, &key(2))), Err(DatagramError::Forged));
+    assert_eq!(steward.receive(0, &note(2, 5, 1, &Keys::default())), Err(DatagramError::UnknownKey(0)));
+    assert_eq!(steward.receive(0, &note(RELAYS, 5, 1, &key(1))), Err(DatagramError::Stranger), "of no relay");
+    assert_eq!(steward.receive(0, &vec![2; 300]), Err(DatagramError::Malformed), "too long");
     assert_eq!(steward.poll(0), [], "none of these had an effect");
     assert_eq!(steward.receive(0, &good), Ok(()));
     let out = steward.poll(0);
@@ -374,8 +377,12 @@
         matches!(answers[0].items[0], Item::Permit { destination: DESTINATION, total: 1, .. }),
         "{answers:?}"
     );
-    assert_eq!(steward.receive(1, &good), Err(NoteError::Replayed));
-    assert_eq!(steward.receive(1, &note(2, 4, 9, &key(1))), Err(NoteError::Replayed), "of an earlier start");
+    assert_eq!(steward.receive(1, &good), Err(DatagramError::Replayed));
+    assert_eq!(
+        steward.receive(1, &note(2, 4, 9, &key(1))),
+        Err(DatagramError::Replayed),
+        "of an earlier start"
+    );
 }
 
 #[test]
@@ -420,8 +427,8 @@
         let length = draw.below(64) as usize;
         let mut bytes: Vec<u8> = (0..length).map(|_| draw.below(256) as u8).collect();
         if n % 2 == 0 {
-            let head = fleet::note::Head { from: 2, incarnation: 1, number: n, sent: Stamp(n) };
-            bytes = fleet::note::seal(&Keys::default(), &head, &[(1, bytes)]).expect("it has room");
+            let head = fleet::datagram::Header { from: 2, incarnation: 1, number: n, sent: Stamp(n) };
+            bytes = fleet::datagram::seal(&Keys::default(), &head, &[(1, bytes)]).expect("it has room");
         } else if length > 2 {
             (bytes[0], bytes[1]) = (2, 0);
         }
--- a/crates/proofs/src/record.rs
+++ b/crates/proofs/src/record.rs
@@ -267,14 +267,14 @@
 
 /// What a record says of a message.
 #[derive(Clone, Debug)]
-struct Said {
+struct OutgoingFrame {
     outcome: String,
     effect: String,
     rows: u64,
 }
 
-async fn read(targets: &[Target]) -> Result<HashMap<String, Said>, Failure> {
-    let mut rows: HashMap<String, Said> = HashMap::new();
+async fn read(targets: &[Target]) -> Result<HashMap<String, OutgoingFrame>, Failure> {
+    let mut rows: HashMap<String, OutgoingFrame> = HashMap::new();
     for target in targets {
         let mut connection = open(target).await?;
         let mut filter = Filter::default();
@@ -283,7 +283,7 @@
             let Some(last) = page.last() else { break };
             filter.after = Some((last.ended_at, last.id.clone()));
             for message in page {
-                let said = Said { outcome: message.outcome, effect: message.effect, rows: 0 };
+                let said = OutgoingFrame { outcome: message.outcome, effect: message.effect, rows: 0 };
                 rows.entry(message.id).or_insert(said).rows += 1;
             }
         }
@@ -293,7 +293,9 @@
 
 type Noted<'a> = (&'a HashMap<String, bool>, &'a HashMap<String, bool>);
 
-fn count(counted: &mut Counted, (sent, taken): Noted, effects: &Effects, rows: &HashMap<String, Said>) {
+fn count(
+    counted: &mut Counted, (sent, taken): Noted, effects: &Effects, rows: &HashMap<String, OutgoingFrame>,
+) {
     for id in taken.keys().filter(|id| !rows.contains_key(*id)) {
         eprintln!("lost: {id}");
         counted.lost += 1;
--- a/crates/proofs/src/tier.rs
+++ b/crates/proofs/src/tier.rs
@@ -62,7 +62,7 @@
             peers: (0..n as Peer).collect(),
             keys: Keys::default(),
             bytes_per_s: tier.bytes_per_s,
-            asks: true,
+            pings_silent_peers: true,
         };
         let seed = tier.seed ^ me as u64;
         Alone::new(link, Config { me: me as Peer, most_facts: 8192, seed, asks }, now)
--- a/crates/proofs/src/warm_start.rs
+++ b/crates/proofs/src/warm_start.rs
@@ -392,7 +392,7 @@
         peers: (0..=me).collect(),
         keys: Keys::default(),
         bytes_per_s: 20_000,
-        asks: true,
+        pings_silent_peers: true,
     };
     let mut node = Alone::new(link, Config { me, most_facts: 4096, seed: 1, asks: false }, now);
     let mut lies_at = now;
--- a/crates/repeats/src/node.rs
+++ b/crates/repeats/src/node.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use fleet::frame;
-use fleet::link::{Channel, Said, Sender};
+use fleet::link::{Channel, OutgoingFrame, Sender};
 use fleet::members::Members;
 use fleet::nearest;
 use overload::backlog::Backlog;
@@ -481,11 +481,11 @@
     }
 
     /// A repeat waits for it; what it costs is bound by first attempts, wants and gifts.
-    fn bound(&self) -> bool {
+    fn is_budgeted(&self) -> bool {
         false
     }
 
-    fn hear(&mut self, now: Micros, from: &Sender, _: &Members, bytes: &[u8]) -> bool {
+    fn receive_frame(&mut self, now: Micros, from: &Sender, _: &Members, bytes: &[u8]) -> bool {
         self.avoided.remove(&from.peer);
         self.starts.insert(from.peer, from.incarnation);
         let (items, made_sense) = read(bytes);
@@ -493,7 +493,7 @@
         made_sense
     }
 
-    fn say(&mut self, now: Micros, _: &Members, room: usize, _: usize) -> Vec<Said> {
+    fn poll_frames(&mut self, now: Micros, _: &Members, room: usize, _: usize) -> Vec<OutgoingFrame> {
         let mut due = std::mem::take(&mut self.changed);
         if now >= self.look_at {
             due.extend(self.accounts.keys());
--- a/crates/repeats/tests/fleet.rs
+++ b/crates/repeats/tests/fleet.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use fleet::keys::Keys;
-use fleet::link::{self, Channel, Link};
+use fleet::link::{self, Channel, PeerLink};
 use proptest::prelude::*;
 use repeats::node::{Config, Node};
 use repeats::{Micros, Peer, SECOND};
@@ -22,7 +22,7 @@
 
 struct World {
     now: Micros,
-    nodes: Vec<Option<(Link, Node)>>,
+    nodes: Vec<Option<(PeerLink, Node)>>,
     /// When a relay goes on that is stopped.
     frozen: BTreeMap<usize, Micros>,
     /// Notes in order of their arrival: from whom, to whom.
@@ -62,10 +62,10 @@
             peers: (0..relays).collect(),
             keys: Keys::default(),
             bytes_per_s: 4000,
-            asks: false,
+            pings_silent_peers: false,
         };
         let node = Node::new(Config { me, relays, incarnation }, self.now);
-        self.nodes[relay] = Some((Link::new(config, self.now), node));
+        self.nodes[relay] = Some((PeerLink::new(config, self.now), node));
     }
 
     fn draw(&mut self) -> f64 {
@@ -230,8 +230,8 @@
     let (link, node) = world.nodes[usize::from(keeper)].as_mut().expect("it is there");
     node.listed(now, PLACE, 10.0);
     let gift = repeats::note::Item::Gift { destination: PLACE, start, total: 1_000_000, answers: false };
-    let from = link::Sender { peer: liar, incarnation: 9, sent: fleet::note::Stamp::of(now), late: 0 };
-    assert!(node.hear(now, &from, link.members(), &gift.encode()));
+    let from = link::Sender { peer: liar, incarnation: 9, sent: fleet::datagram::Stamp::of(now), delay: 0 };
+    assert!(node.receive_frame(now, &from, link.members(), &gift.encode()));
     assert_eq!(node.budgets(now)[0].credits, 20, "what a limit of 10 a second earns in ten seconds");
 }
 
--- a/crates/rollout/src/node.rs
+++ b/crates/rollout/src/node.rs
@@ -7,7 +7,7 @@
     Applied, ApplyError, Change, ControlKeys, DestinationSet, Digest, LogLimits, SignedChange, Version,
 };
 use fleet::frame;
-use fleet::link::{Channel, Said, Sender};
+use fleet::link::{Channel, OutgoingFrame, Sender};
 use fleet::members::Members;
 use fleet::{Micros, Peer};
 
@@ -462,11 +462,11 @@
     }
 
     /// It keeps within limits of its own: leases, the rate of heartbeats, and the budget for those who lag behind.
-    fn bound(&self) -> bool {
+    fn is_budgeted(&self) -> bool {
         false
     }
 
-    fn hear(&mut self, now: Micros, from: &Sender, _: &Members, bytes: &[u8]) -> bool {
+    fn receive_frame(&mut self, now: Micros, from: &Sender, _: &Members, bytes: &[u8]) -> bool {
         if self.topology.machine(from.peer).is_none() {
             self.counts.reject(Kind::Unasked);
             self.disagreements.add(Disagreement::Subscriber(from.peer));
@@ -484,7 +484,7 @@
         sound
     }
 
-    fn say(&mut self, now: Micros, _: &Members, room: usize, _: usize) -> Vec<Said> {
+    fn poll_frames(&mut self, now: Micros, _: &Members, room: usize, _: usize) -> Vec<OutgoingFrame> {
         self.poll(now);
         frame::pack(self.out.drain(..).map(|(to, message)| (to, message.encode())), room)
     }
--- a/crates/rollout/tests/disagreement.rs
+++ b/crates/rollout/tests/disagreement.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 
 use destinations::{ControlKeys, DestinationSet, SigningKey};
+use fleet::datagram::Stamp;
 use fleet::link::{Channel, Sender};
 use fleet::members::Members;
-use fleet::note::Stamp;
 use rollout::topology::{Machine, Place, Role, Topology};
 use rollout::{Config, Disagreement, Node, Peer, SECOND};
 
@@ -34,9 +34,9 @@
 /// Carries all that one says to the other.
 fn carry(now: i64, (from, sender): (Peer, &mut Node), (to, receiver): (Peer, &mut Node)) {
     let members = Members::new(from, 1, [CONTROL, 1, 2]);
-    for said in sender.say(now, &members, ROOM, usize::MAX).into_iter().filter(|said| said.to == to) {
-        let from = Sender { peer: from, incarnation: 1, sent: Stamp::of(now), late: 0 };
-        receiver.hear(now, &from, &members, &said.bytes);
+    for said in sender.poll_frames(now, &members, ROOM, usize::MAX).into_iter().filter(|said| said.to == to) {
+        let from = Sender { peer: from, incarnation: 1, sent: Stamp::of(now), delay: 0 };
+        receiver.receive_frame(now, &from, &members, &said.bytes);
     }
 }
 
--- a/crates/rollout/tests/hostile.rs
+++ b/crates/rollout/tests/hostile.rs
@@ -3,9 +3,9 @@
 mod world;
 
 use destinations::{Change, DestinationId, DestinationSet, Operation, SignedChange, SigningKey, Version};
+use fleet::datagram::Stamp;
 use fleet::link::{Channel, Sender};
 use fleet::members::Members;
-use fleet::note::Stamp;
 use proptest::prelude::*;
 use rollout::message::{FRAGMENT_BYTES, Message, decode};
 use rollout::topology::{Machine, Place, Role, Topology};
@@ -224,10 +224,10 @@
         let mut now = 0;
         for (peer, tag, mut bytes) in frames {
             bytes.insert(0, tag);
-            let from = Sender { peer, incarnation: 1, sent: Stamp(0), late: 0 };
-            node.hear(now, &from, &members, &bytes);
+            let from = Sender { peer, incarnation: 1, sent: Stamp(0), delay: 0 };
+            node.receive_frame(now, &from, &members, &bytes);
             now = node.next_at(now).min(now + SECOND) + 1000;
-            for said in node.say(now, &members, 224, usize::MAX) {
+            for said in node.poll_frames(now, &members, 224, usize::MAX) {
                 prop_assert!(said.bytes.len() <= 224);
             }
         }
--- a/crates/rollout/tests/world/mod.rs
+++ b/crates/rollout/tests/world/mod.rs
@@ -12,7 +12,7 @@
     SignedChange, SigningKey, Version,
 };
 use fleet::keys::Keys;
-use fleet::link::{self, Channel, Link};
+use fleet::link::{self, Channel, PeerLink};
 use rollout::MOST_SUBSCRIBERS;
 use rollout::topology::{Machine, Place, Role, Topology};
 use rollout::{Config, Micros, Node, Peer, SECOND};
@@ -64,7 +64,7 @@
     pub author: DestinationSet,
     pub newest: Option<SignedChange>,
     layout: Layout,
-    links: BTreeMap<Peer, (Link, Node)>,
+    links: BTreeMap<Peer, (PeerLink, Node)>,
     wakes: BTreeMap<Peer, Micros>,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     sequence: u64,
@@ -186,9 +186,9 @@
             // The MAC of the link is tested there; without it these runs take half the time.
             keys: Keys::default(),
             bytes_per_s: 4000,
-            asks: false,
+            pings_silent_peers: false,
         };
-        let link = Link::new(config, self.now);
+        let link = PeerLink::new(config, self.now);
         let config = Config {
             log: self.layout.log,
             ..Config::new(peer, Arc::clone(&self.topology), keys, self.layout.seed)
@@ -256,22 +256,27 @@
 
     /// A datagram that a machine of the fleet really could send, with messages of the test's own.
     pub fn inject(&mut self, from: Peer, to: Peer, messages: &[rollout::message::Message]) {
-        struct Once(Vec<link::Said>);
+        struct Once(Vec<link::OutgoingFrame>);
         impl Channel for Once {
             fn id(&self) -> u8 {
                 rollout::message::CHANNEL
             }
-            fn hear(&mut self, _: Micros, _: &link::Sender, _: &fleet::members::Members, _: &[u8]) -> bool {
+            fn receive_frame(
+                &mut self, _: Micros, _: &link::Sender, _: &fleet::members::Members, _: &[u8],
+            ) -> bool {
                 true
             }
-            fn say(&mut self, _: Micros, _: &fleet::members::Members, _: usize, _: usize) -> Vec<link::Said> {
+            fn poll_frames(
+                &mut self, _: Micros, _: &fleet::members::Members, _: usize, _: usize,
+            ) -> Vec<link::OutgoingFrame> {
                 std::mem::take(&mut self.0)
             }
             fn next_at(&self, now: Micros) -> Micros {
                 now
             }
         }
-        let said = messages.iter().map(|message| link::Said { to, bytes: message.encode() }).collect();
+        let said =
+            messages.iter().map(|message| link::OutgoingFrame { to, bytes: message.encode() }).collect();
         let (link, _) = self.links.get_mut(&from).expect("it runs");
         for out in link.poll(self.now, &mut [&mut Once(said)]) {
             self.push(self.now + 1, Event::Datagram { from, to: out.to, bytes: out.bytes });
@@ -414,7 +419,7 @@
 
 /// Messages of a datagram by which a machine says that it does not have a part of a snapshot.
 fn unavailable(datagram: &[u8]) -> u64 {
-    let (_, frames) = fleet::note::open(&Keys::default(), datagram).expect("it was sealed just now");
+    let (_, frames) = fleet::datagram::open(&Keys::default(), datagram).expect("it was sealed just now");
     let frames = frames.into_iter().filter(|(channel, _)| *channel == rollout::message::CHANNEL);
     let messages = frames.flat_map(|(_, bytes)| rollout::message::decode(bytes).0);
     messages.filter(|message| matches!(message, rollout::message::Message::PartUnavailable { .. })).count()
--- a/crates/scale/src/rollout_run/machine.rs
+++ b/crates/scale/src/rollout_run/machine.rs
@@ -7,7 +7,7 @@
 use destinations::{ControlKeys, DestinationSet, SignedChange};
 use fleet::Peer;
 use fleet::keys::{Key, Keys};
-use fleet::link::{self, Link};
+use fleet::link::{self, PeerLink};
 use rollout::topology::Topology;
 use rollout::{Config, Node};
 
@@ -73,7 +73,7 @@
 /// A machine that runs.
 #[derive(Debug)]
 pub(super) struct Process {
-    pub(super) link: Link,
+    pub(super) link: PeerLink,
     pub(super) node: Node,
     pub(super) consensus: Option<Consensus>,
     /// When it started.
@@ -92,9 +92,15 @@
         let key = setup.signed.then(|| Key { id: 1, bytes: vec![7; 32] });
         let keys = Keys(key.into_iter().collect());
         let incarnation = fleet::incarnation(now);
-        let config =
-            link::Config { me: peer, incarnation, peers, keys, bytes_per_s: BYTES_PER_S, asks: false };
-        let link = Link::new(config, now);
+        let config = link::Config {
+            me: peer,
+            incarnation,
+            peers,
+            keys,
+            bytes_per_s: BYTES_PER_S,
+            pings_silent_peers: false,
+        };
+        let link = PeerLink::new(config, now);
         let config = Config::new(peer, Arc::clone(&setup.topology), setup.control_keys.clone(), setup.seed);
         let node = Node::new(config, disk.set.take().unwrap_or_default(), disk.newest.clone(), now);
         let cluster = setup.control(peer).map(|control| setup.cluster(control));
--- a/crates/scale/src/run/core.rs
+++ b/crates/scale/src/run/core.rs
@@ -30,7 +30,7 @@
         match channel {
             permits::note::CHANNEL => Core::Permits,
             peers::node::CHANNEL => Core::Observations,
-            turns::note::CHANNEL => Core::Maintenance,
+            turns::item::CHANNEL => Core::Maintenance,
             _ => Core::Link,
         }
     }
--- a/crates/scale/src/run/count.rs
+++ b/crates/scale/src/run/count.rs
@@ -1,7 +1,7 @@
 //! What a relay sent, by core, exactly.
 
+use fleet::datagram::{self, FRAME_OVERHEAD_BYTES};
 use fleet::keys::Keys;
-use fleet::note::{self, FRAME};
 
 use super::core::{CORES, Core};
 
@@ -20,11 +20,11 @@
     /// Counts a datagram. Frames of several cores may share one: its head and its signature count for the core of the first
     /// frame, each frame for its own.
     pub(super) fn add(&mut self, keys: &Keys, datagram: &[u8]) {
-        let frames = note::open(keys, datagram).map(|(_, frames)| frames).unwrap_or_default();
+        let frames = datagram::open(keys, datagram).map(|(_, frames)| frames).unwrap_or_default();
         let first = frames.first().map_or(Core::Link, |(channel, _)| Core::of_channel(*channel));
         let mut rest = datagram.len() as u64;
         for (channel, frame) in frames.iter().skip(1) {
-            let bytes = (frame.len() + FRAME) as u64;
+            let bytes = (frame.len() + FRAME_OVERHEAD_BYTES) as u64;
             rest = rest.saturating_sub(bytes);
             self.of_mut(Core::of_channel(*channel)).bytes += bytes;
         }
--- a/crates/scale/src/run/detection.rs
+++ b/crates/scale/src/run/detection.rs
@@ -1,7 +1,7 @@
 //! How long it takes until a dead relay is known as dead by all that live, and whether living ones are taken for dead.
 
 use fleet::Peer;
-use fleet::members::Standing;
+use fleet::members::MemberState;
 
 use super::delays::DelayHistogram;
 use super::relay::Relay;
@@ -62,5 +62,5 @@
 
 /// Whether a relay takes another for dead.
 pub(super) fn takes_for_dead(relay: &Relay, peer: Peer) -> bool {
-    relay.link.members().doubted(peer).is_some_and(|(_, standing)| standing == Standing::Gone)
+    relay.link.members().suspect_or_dead(peer).is_some_and(|(_, standing)| standing == MemberState::Gone)
 }
--- a/crates/scale/src/run/relay.rs
+++ b/crates/scale/src/run/relay.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use fleet::keys::{Key, Keys};
-use fleet::link::{self, Channel, Link, Out, Said, Sender};
+use fleet::link::{self, Channel, OutgoingDatagram, OutgoingFrame, PeerLink, Sender};
 use fleet::members::Members;
 use fleet::{Peer, incarnation};
 use peers::node::Node as Facts;
@@ -11,9 +11,9 @@
 use permits::node::{Given, Node as Permits};
 use permits::steward::{Cold, Report};
 use permits::{Sharing, Tiers};
-use turns::Terms;
-use turns::node::{Kept, Node as Turns, Order};
-use turns::wishes::{Kind, Stage};
+use turns::MaintenancePolicy;
+use turns::node::{Action, Node as Turns, PersistedState};
+use turns::requests::{Kind, Stage};
 
 use super::core::Core;
 use super::meter::Meter;
@@ -44,18 +44,20 @@
         self.channel.id()
     }
 
-    fn bound(&self) -> bool {
-        self.channel.bound()
+    fn is_budgeted(&self) -> bool {
+        self.channel.is_budgeted()
     }
 
-    fn hear(&mut self, now: Micros, from: &Sender, members: &Members, bytes: &[u8]) -> bool {
+    fn receive_frame(&mut self, now: Micros, from: &Sender, members: &Members, bytes: &[u8]) -> bool {
         let channel = &mut self.channel;
-        self.meter.within(self.core, || channel.hear(now, from, members, bytes))
+        self.meter.within(self.core, || channel.receive_frame(now, from, members, bytes))
     }
 
-    fn say(&mut self, now: Micros, members: &Members, room: usize, allowance: usize) -> Vec<Said> {
+    fn poll_frames(
+        &mut self, now: Micros, members: &Members, room: usize, allowance: usize,
+    ) -> Vec<OutgoingFrame> {
         let channel = &mut self.channel;
-        self.meter.within(self.core, || channel.say(now, members, room, allowance))
+        self.meter.within(self.core, || channel.poll_frames(now, members, room, allowance))
     }
 
     fn next_at(&self, now: Micros) -> Micros {
@@ -67,7 +69,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Polled {
     /// Datagrams to send.
-    pub(super) out: Vec<Out>,
+    pub(super) out: Vec<OutgoingDatagram>,
     /// What coordinators granted.
     pub(super) given: Vec<Given>,
     /// It goes out for maintenance.
@@ -85,7 +87,7 @@
     bytes_per_s: u32,
     sharing: Option<Sharing>,
     observes: bool,
-    terms: Option<Terms>,
+    terms: Option<MaintenancePolicy>,
     /// The limit of each destination, in calls a second.
     limits: Vec<f64>,
     pub(super) meter: Meter,
@@ -108,7 +110,7 @@
             bytes_per_s: scenario.bytes_per_s,
             sharing: scenario.has(Role::LimitCoordinator).then_some(sharing),
             observes: scenario.has(Role::HealthObservations),
-            terms: (seats > 0).then_some(Terms { relays, seats, zones }),
+            terms: (seats > 0).then_some(MaintenancePolicy { relays, max_unavailable: seats, zones }),
             limits,
             meter: Meter::new(),
         }
@@ -134,7 +136,7 @@
 /// A hollow relay.
 #[derive(Debug)]
 pub(super) struct Relay {
-    pub(super) link: Link,
+    pub(super) link: PeerLink,
     pub(super) permits: Option<Permits>,
     pub(super) facts: Option<(Facts, Witness)>,
     pub(super) turns: Option<Turns>,
@@ -144,7 +146,9 @@
 
 impl Relay {
     /// A relay that starts now, after an earlier process of it or for the first time.
-    pub(super) fn new(me: Peer, setup: &Rc<Setup>, now: Micros, (seed, kept): (u64, Option<&Kept>)) -> Self {
+    pub(super) fn new(
+        me: Peer, setup: &Rc<Setup>, now: Micros, (seed, kept): (u64, Option<&PersistedState>),
+    ) -> Self {
         let incarnation = incarnation(now);
         let config = link::Config {
             me,
@@ -152,7 +156,7 @@
             peers: (0..setup.relays).collect(),
             keys: setup.keys.clone(),
             bytes_per_s: setup.bytes_per_s,
-            asks: setup.asks,
+            pings_silent_peers: setup.asks,
         };
         let permits = setup.sharing.map(|sharing| {
             let config = permits::node::Config {
@@ -172,16 +176,16 @@
             (Facts::new(config, now), Witness::default())
         });
         let turns = setup.terms.clone().map(|terms| {
-            let config = turns::node::Config { me, incarnation, terms };
-            Turns::new(config, now, kept.unwrap_or(&Kept::default()))
+            let config = turns::node::Config { me, incarnation, policy: terms };
+            Turns::new(config, now, kept.unwrap_or(&PersistedState::default()))
         });
-        let (link, setup) = (Link::new(config, now), Rc::clone(setup));
+        let (link, setup) = (PeerLink::new(config, now), Rc::clone(setup));
         Relay { link, permits, facts, turns, strain_at: now, setup }
     }
 
     /// What outlasts its process.
-    pub(super) fn kept(&self) -> Kept {
-        self.turns.as_ref().map(Turns::kept).unwrap_or_default()
+    pub(super) fn kept(&self) -> PersistedState {
+        self.turns.as_ref().map(Turns::persisted_state).unwrap_or_default()
     }
 
     /// Takes a datagram.
@@ -229,7 +233,7 @@
     /// It is to go out for a restart, in its turn. Whether it takes turns at all.
     pub(super) fn wishes_restart(&mut self, now: Micros, me: Peer) -> bool {
         let Some(turns) = &mut self.turns else { return false };
-        turns.wish(now, me, Kind::Restart, Stage::Wanted);
+        turns.update_request(now, me, Kind::Restart, Stage::Pending);
         true
     }
 
@@ -259,16 +263,19 @@
         if now >= self.strain_at {
             self.strain_at = now + STRAIN_EVERY;
             let strained = self.permits.as_ref().and_then(|permits| permits.strained(now, STRAIN));
-            turns.strain(now, strained.is_some());
+            turns.set_strained(now, strained.is_some());
         }
-        turns.serves(now, u64::try_from(now / MILLISECOND).unwrap_or(0), true);
-        turns.take_changed();
-        turns.take_orders().iter().any(|order| matches!(order, Order::Out(turn) if turn.kind.ends()))
+        turns.set_serving(now, u64::try_from(now / MILLISECOND).unwrap_or(0), true);
+        turns.take_unsaved();
+        turns
+            .take_actions()
+            .iter()
+            .any(|order| matches!(order, Action::Drain(turn) if turn.kind.exits_process()))
     }
 
     /// Calls the link with the channels in the shell's order, the most urgent first.
     fn with_channels<T>(
-        &mut self, meter: &Meter, call: impl FnOnce(&mut Link, &mut [&mut dyn Channel]) -> T,
+        &mut self, meter: &Meter, call: impl FnOnce(&mut PeerLink, &mut [&mut dyn Channel]) -> T,
     ) -> T {
         let permits = self.permits.as_mut().map(|permits| (permits as &mut dyn Channel, Core::Permits));
         let turns = self.turns.as_mut().map(|turns| (turns as &mut dyn Channel, Core::Maintenance));
--- a/crates/scale/src/run/simulation/mod.rs
+++ b/crates/scale/src/run/simulation/mod.rs
@@ -10,7 +10,7 @@
 use fleet::Peer;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
-use turns::node::Kept;
+use turns::node::PersistedState;
 
 use self::calls::Call;
 use self::lives::ALARMS_EVERY;
@@ -76,7 +76,7 @@
     life: u32,
     since: Micros,
     wake_at: Micros,
-    kept: Option<Kept>,
+    kept: Option<PersistedState>,
     /// It was killed and does not return.
     killed: bool,
 }
--- a/crates/turns/src/lib.rs
+++ b/crates/turns/src/lib.rs
@@ -1,90 +1,95 @@
-//! Machines out for work, one after the other, in an order that the relays settle among themselves.
+//! Maintenance coordination: relays are taken out of service one after the other, in an order that they agree on by
+//! majority votes.
 //!
-//! Whoever operates a relay tells any of them of a wish: this one is to go out, for a restart, say. All relays hear of it.
-//! The relay itself asks the voters of the fleet for a seat; with the votes of a majority it goes out, and it is back when
-//! it says that it serves. Never more are out by turns than there are seats, nor two of a zone, whatever is cut, late,
-//! lost, frozen, killed or started again:
+//! An operator sends a drain request for a relay to any relay, say for a restart, and all relays learn of it. The relay
+//! concerned asks the voters of the fleet for a maintenance slot. With the votes of a majority it is in maintenance, until
+//! it reports that it serves. Whatever is partitioned, delayed, lost, frozen, killed or restarted, no more relays are in
+//! maintenance at once than there are slots, and never two of a zone:
 //!
-//! - who has voted for a relay takes it to be out, in that seat, until it has heard it say that it serves, in answer to a
-//!   question that was asked after the vote; and votes for nobody else in that seat, or of that zone, meanwhile;
-//! - a relay that says that it serves has let go of all votes that it had. So of two that are out, the voter that voted for
-//!   both would have heard the first serve after its vote, which it did not: a majority has a voter in common with any other;
-//! - a voter that starts has forgotten its votes. It votes for nobody until what it voted for is over, and until it knows
-//!   of each relay by itself or from enough others that remember.
+//! - A voter counts a relay that it voted for as in maintenance, in that slot, until the relay reports that it serves, in
+//!   answer to a ping sent after the vote. Until then it votes for no other relay in that slot or of that zone.
+//! - A relay that reports that it serves has given up all votes for it. If two relays held conflicting slots, a voter
+//!   would have voted for both, as any two majorities have a voter in common; but it would first have had to receive the
+//!   first relay's report that it serves.
+//! - A voter that restarts has lost its votes. It votes for no relay until the rounds that it voted in are over, and until
+//!   it knows the state of each relay from that relay or from enough other voters that remember their votes.
 //!
-//! No clock has to agree with another. Who cannot be heard is taken to be out and leaves fewer seats; the small side of a
-//! split has no majority.
+//! Clocks need not agree. A relay that cannot be reached counts as in maintenance and leaves fewer slots; the minority
+//! side of a partition has no majority and grants no slot.
 //!
-//! A channel of the link (see the crate fleet), without I/O: frames, wishes and the time go in, frames and orders come out.
-//! It must never order a relay out that a majority did not vote for in its present round.
+//! This is a channel of the peer link (see the crate `fleet`), without I/O: frames, drain requests and the time go in,
+//! frames and actions come out. Invariant: a relay is told to drain only with votes of a majority in its present round.
 //!
-//! Dependencies point one way: `note` ← `wishes`, `voter` ← `node`.
+//! Dependencies point one way: `item` ← `requests`, `voter` ← `node`.
 #![forbid(unsafe_code)]
 
+pub mod item;
 pub mod node;
-pub mod note;
+pub mod requests;
 pub mod voter;
-pub mod wishes;
 
 pub use fleet::{Micros, Peer, SECOND};
 
-/// A turn of one relay: its start, and the turn since then. No two turns of a relay have the same.
+/// Fencing token of a maintenance slot: the relay's incarnation and the vote round. No two slots of a relay have the same.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
-pub struct Fence {
-    /// The start of its process, a number that grows from one to the next.
+pub struct FencingToken {
+    /// The relay's incarnation, which grows from one start to the next.
     pub incarnation: u32,
-    /// The round in which it asked.
+    /// The vote round.
     pub round: u32,
 }
 
-/// A moment of a voter's own clock, in milliseconds since its start.
+/// A time by a voter's own monotonic clock, in milliseconds since its start.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
-pub struct Mark {
-    /// Its start.
+pub struct VoterTime {
+    /// The voter's incarnation.
     pub incarnation: u32,
-    /// Since then.
+    /// Milliseconds since that start.
     pub ms: u32,
 }
 
-/// How many may be out, and who is where.
+/// How many relays may be in maintenance at once, and the zone of each relay.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
-    /// Relays of the fleet.
+pub struct MaintenancePolicy {
+    /// Number of relays in the fleet.
     pub relays: Peer,
-    /// So many may be out at once.
-    pub seats: u8,
-    /// The zone of each relay, of which only one may be out; one that is not named is in a zone of its own.
+    /// Maximum number of relays in maintenance at once.
+    pub max_unavailable: u8,
+    /// The zone of each relay, by its number; only one relay of a zone may be in maintenance. A relay that is not listed has
+    /// a zone of its own.
     pub zones: Vec<u16>,
 }
 
-/// Up to so many relays all vote; of more, so many do.
-const ALL_VOTE: Peer = 24;
-const VOTERS: Peer = 15;
+/// In a fleet of up to this many relays all vote; in a larger one [`VOTER_COUNT`] of them do.
+const MAX_RELAYS_ALL_VOTING: Peer = 24;
+/// Number of voters in a fleet in which not all relays vote.
+const VOTER_COUNT: Peer = 15;
 
-impl Terms {
-    /// Whether two relays are of one zone.
+impl MaintenancePolicy {
+    /// Whether two relays are of the same zone.
     pub fn same_zone(&self, one: Peer, other: Peer) -> bool {
         let zone = |peer: Peer| self.zones.get(usize::from(peer));
         one == other || zone(one).is_some() && zone(one) == zone(other)
     }
 
-    /// Who votes: all of a small fleet, some of a large one, spread over their numbers and so over zones.
+    /// The voters: all relays of a small fleet; in a large one a part of them, spread evenly over the relay numbers and so
+    /// over zones.
     pub fn voters(&self) -> impl Iterator<Item = Peer> {
-        let (all, many) = (u32::from(self.relays), self.relays > ALL_VOTE);
-        let count = if many { u32::from(VOTERS) } else { all };
+        let (all, many) = (u32::from(self.relays), self.relays > MAX_RELAYS_ALL_VOTING);
+        let count = if many { u32::from(VOTER_COUNT) } else { all };
         (0..count).map(move |n| (n * all / count.max(1)) as Peer)
     }
 
-    /// Whether a relay votes.
-    pub fn votes(&self, peer: Peer) -> bool {
+    /// Whether a relay is a voter.
+    pub fn is_voter(&self, peer: Peer) -> bool {
         self.voters().any(|voter| voter == peer)
     }
 
-    /// So many votes make a turn: any two majorities have a voter in common.
+    /// Number of votes that grant a slot. Any two majorities have a voter in common.
     pub fn majority(&self) -> usize {
         self.voters().count() / 2 + 1
     }
--- a/crates/turns/src/node.rs
+++ b/crates/turns/src/node.rs
@@ -1,303 +1,311 @@
-//! A relay among those that take turns: its own wish and turn, its votes, and what it tells. Owns when it asks, and when it
-//! is out. It must never be out by votes of a round that is over.
+//! Maintenance coordination on one relay: its own drain request and slot, its votes, and the items that it sends.
+//!
+//! Invariant: a relay takes a maintenance slot only with votes of its present round.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use fleet::frame;
-use fleet::link::{Channel, Said, Sender};
+use fleet::link::{Channel, OutgoingFrame, Sender};
 use fleet::members::Members;
 
-use crate::note::{CHANNEL, State, Why, Word};
-use crate::voter::{ASKS_FOR, Counts, Guard, Voter};
-use crate::wishes::{Kind, Stage, Wish, Wishes};
-use crate::{Fence, Micros, Peer, SECOND, Terms};
-
-/// While something is wanted, or somebody is out, voters ask all others so often what they are at ...
-const PING: Micros = SECOND;
-/// ... else each relay asks one in its turn.
-const IDLE: Micros = 2 * SECOND;
-/// Who does not answer an ask is asked again after this.
-const AGAIN: Micros = 3 * SECOND / 10;
-/// After a round in vain a relay rests for so long, and for up to as long again by its number.
-const RESTS: Micros = 2 * SECOND / 5;
-/// An older wish that can be met, and does not ask, is waited for so long.
-const YIELDS: Micros = 3 * SECOND;
-/// Strain that was not said again for so long is over ...
-const STRAINED_FOR: Micros = 5 * SECOND / 2;
-/// ... and holds no wish back that is so old, in milliseconds: nobody waits for ever.
-const STRAIN_HOLDS_MS: u64 = 600_000;
-/// Refusals are remembered for so long.
-const REFUSED_FOR: Micros = 5 * SECOND;
-
-/// What a node is given.
+use crate::item::{CHANNEL, Item, RefusalReason, RelayState};
+use crate::requests::{DrainRequest, DrainRequests, Kind, Stage};
+use crate::voter::{DisabledCheck, RelayStatus, VOTE_ROUND_TIMEOUT, Voter};
+use crate::{FencingToken, MaintenancePolicy, Micros, Peer, SECOND};
+
+/// Interval at which each voter pings all other relays while a request is pending or a relay is in maintenance, in
+/// microseconds.
+const PING_INTERVAL: Micros = SECOND;
+/// Interval at which each relay pings one other relay, in turn, at all other times, in microseconds.
+const IDLE_PING_INTERVAL: Micros = 2 * SECOND;
+/// Interval at which a slot request is sent again to voters that did not answer, in microseconds.
+const VOTE_RESEND_INTERVAL: Micros = 3 * SECOND / 10;
+/// Minimum pause after a failed round, in microseconds. A jitter of up to as much is added, by the relay's number.
+const VOTE_BACKOFF: Micros = 2 * SECOND / 5;
+/// Time for which a voter waits for an older request that could be granted but does not ask for a slot, in microseconds.
+const YIELD_TIMEOUT: Micros = 3 * SECOND;
+/// Time after which a report of strain that was not repeated expires, in microseconds.
+const STRAIN_REPORT_TTL: Micros = 5 * SECOND / 2;
+/// Age from which a request is no longer delayed by strain, in milliseconds, so that no request waits for ever.
+const MAX_STRAIN_DELAY_MS: u64 = 600_000;
+/// Time for which a refusal is remembered, in microseconds.
+const REFUSAL_TTL: Micros = 5 * SECOND;
+
+/// Configuration of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
     /// This relay's number.
     pub me: Peer,
-    /// Its start, a number that grows from one start to the next.
+    /// Its incarnation, which grows from one start to the next.
     pub incarnation: u32,
-    /// How many may be out, and who is where.
-    pub terms: Terms,
+    /// How many relays may be in maintenance at once, and the zones.
+    pub policy: MaintenancePolicy,
 }
 
-/// A turn that this relay has.
+/// A maintenance slot that this relay holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Turn {
-    /// Its fence.
-    pub fence: Fence,
-    /// The seat.
-    pub seat: u8,
-    /// What for.
+pub struct MaintenanceSlot {
+    /// The fencing token under which it was granted.
+    pub token: FencingToken,
+    /// The slot's index, from 0.
+    pub index: u8,
+    /// What the relay is drained for.
     pub kind: Kind,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Asking {
-    fence: Fence,
-    seat: u8,
+struct VoteRound {
+    token: FencingToken,
+    slot: u8,
     votes: BTreeSet<Peer>,
     answered: BTreeSet<Peer>,
-    since: Micros,
-    again: Micros,
+    started_at: Micros,
+    resend_at: Micros,
 }
 
-/// What its relay is to do.
+/// What the relay has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Order {
-    /// Go out: take no new clients, and end once it is empty where the kind says so.
-    Out(Turn),
-    /// Take clients again.
-    Back,
+pub enum Action {
+    /// Drain: accept no new clients, and exit once drained if the kind says so.
+    Drain(MaintenanceSlot),
+    /// Accept clients again.
+    Resume,
 }
 
-/// A relay among those that take turns.
+/// Maintenance coordination on one relay.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Node {
     config: Config,
     voter: Voter,
-    wishes: Wishes,
-    serves: bool,
-    /// It was out when its process before this one ended; its wish is met once it serves.
-    returns: bool,
+    requests: DrainRequests,
+    serving: bool,
+    /// Whether the previous process ended in maintenance. Its request is complete once this one serves.
+    was_out_before_restart: bool,
     round: u32,
-    asking: Option<Asking>,
-    turn: Option<Turn>,
-    rests_until: Micros,
+    vote_round: Option<VoteRound>,
+    slot: Option<MaintenanceSlot>,
+    backoff_until: Micros,
     ping_at: Micros,
-    next_one: Peer,
-    /// Older wishes that could be met, and since when they are waited for.
-    yields: BTreeMap<Peer, Micros>,
-    refused: BTreeMap<Peer, (Why, Micros)>,
-    /// Whether this relay sees strain, and when others said that they do.
+    next_ping_peer: Peer,
+    /// Relays with older requests that could be granted, and since when this relay has waited for them.
+    yielding_since: BTreeMap<Peer, Micros>,
+    refusals: BTreeMap<Peer, (RefusalReason, Micros)>,
+    /// Whether this relay sees strain, and when other relays last reported it.
     strained: bool,
-    strains: BTreeMap<Peer, Micros>,
-    now_ms: u64,
-    out: Vec<(Peer, Word)>,
-    orders: Vec<Order>,
-    /// Something changed that outlasts the process.
-    changed: bool,
+    strain_reports: BTreeMap<Peer, Micros>,
+    unix_ms: u64,
+    outbox: Vec<(Peer, Item)>,
+    actions: Vec<Action>,
+    /// Whether the persisted state has changed since [`Node::take_unsaved`].
+    unsaved: bool,
 }
 
-/// What outlasts the process of a node.
+/// State of a node that outlasts the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Kept {
-    /// All wishes.
-    pub wishes: Vec<Wish>,
-    /// The turn that it had.
-    pub out: Option<Fence>,
+pub struct PersistedState {
+    /// All known drain requests.
+    #[serde(rename = "wishes")]
+    pub requests: Vec<DrainRequest>,
+    /// The token of the slot that the relay held.
+    #[serde(rename = "out")]
+    pub slot: Option<FencingToken>,
 }
 
 impl Node {
-    /// A node that starts now, with what an earlier process kept.
-    pub fn new(config: Config, now: Micros, kept: &Kept) -> Self {
-        let mut wishes = Wishes::default();
-        for wish in &kept.wishes {
-            wishes.take(config.terms.relays, *wish);
+    /// Creates a node at the present time from the persisted state.
+    pub fn new(config: Config, now: Micros, persisted: &PersistedState) -> Self {
+        let mut requests = DrainRequests::default();
+        for request in &persisted.requests {
+            requests.merge(config.policy.relays, *request);
         }
         Node {
             voter: Voter::new(config.me, config.incarnation, now),
-            wishes,
-            serves: false,
-            returns: kept.out.is_some(),
+            requests,
+            serving: false,
+            was_out_before_restart: persisted.slot.is_some(),
             round: 0,
-            asking: None,
-            turn: None,
-            rests_until: now,
+            vote_round: None,
+            slot: None,
+            backoff_until: now,
             ping_at: now,
-            next_one: config.me,
-            yields: BTreeMap::new(),
-            refused: BTreeMap::new(),
+            next_ping_peer: config.me,
+            yielding_since: BTreeMap::new(),
+            refusals: BTreeMap::new(),
             strained: false,
-            strains: BTreeMap::new(),
-            now_ms: 0,
-            out: Vec::new(),
-            orders: Vec::new(),
-            changed: false,
+            strain_reports: BTreeMap::new(),
+            unix_ms: 0,
+            outbox: Vec::new(),
+            actions: Vec::new(),
+            unsaved: false,
             config,
         }
     }
 
-    /// The same with a guard taken out, for who shows that the guard is needed.
+    /// Disables a safety check, so that tests can show that it is needed.
     #[must_use]
-    pub fn without(mut self, guard: Guard) -> Self {
-        self.voter.without = guard;
+    pub fn with_disabled_check(mut self, check: DisabledCheck) -> Self {
+        self.voter.disabled = check;
         self
     }
 
-    /// What is to be kept for the next process.
-    pub fn kept(&self) -> Kept {
-        Kept { wishes: self.wishes.all(), out: self.turn.map(|turn| turn.fence) }
+    /// The state to persist.
+    pub fn persisted_state(&self) -> PersistedState {
+        PersistedState { requests: self.requests.all(), slot: self.slot.map(|slot| slot.token) }
     }
 
-    /// Whether that changed since this was last asked.
-    pub fn take_changed(&mut self) -> bool {
-        std::mem::take(&mut self.changed)
+    /// Returns and clears whether the persisted state has changed.
+    pub fn take_unsaved(&mut self) -> bool {
+        std::mem::take(&mut self.unsaved)
     }
 
-    /// What the relay is to do since this was last asked.
-    pub fn take_orders(&mut self) -> Vec<Order> {
-        std::mem::take(&mut self.orders)
+    /// Returns and clears what the relay has to do.
+    pub fn take_actions(&mut self) -> Vec<Action> {
+        std::mem::take(&mut self.actions)
     }
 
-    /// The turn that it has.
-    pub fn turn(&self) -> Option<Turn> {
-        self.turn
+    /// The slot that this relay holds.
+    pub fn slot(&self) -> Option<MaintenanceSlot> {
+        self.slot
     }
 
-    /// How many may be out, and who is where.
-    pub fn terms(&self) -> &Terms {
-        &self.config.terms
+    /// How many relays may be in maintenance at once, and the zones.
+    pub fn policy(&self) -> &MaintenancePolicy {
+        &self.config.policy
     }
 
-    /// All that is known of wishes.
-    pub fn wishes(&self) -> &Wishes {
-        &self.wishes
+    /// The known drain requests.
+    pub fn requests(&self) -> &DrainRequests {
+        &self.requests
     }
 
-    /// Whether the relay serves, turns aside.
-    pub fn serves(&mut self, now: Micros, unix_ms: u64, serves: bool) {
-        self.now_ms = unix_ms;
-        self.serves = serves;
-        if serves && std::mem::take(&mut self.returns) {
-            self.met(unix_ms);
+    /// Sets whether the relay serves, apart from its maintenance, and the Unix time in milliseconds.
+    pub fn set_serving(&mut self, now: Micros, unix_ms: u64, serving: bool) {
+        self.unix_ms = unix_ms;
+        self.serving = serving;
+        if serving && std::mem::take(&mut self.was_out_before_restart) {
+            self.complete_own_request(unix_ms);
         }
-        if serves && self.wishes.written_off(self.config.me) {
-            self.wish(now, self.config.me, Kind::default(), Stage::Done);
+        if serving && self.requests.written_off(self.config.me) {
+            self.update_request(now, self.config.me, Kind::default(), Stage::Done);
         }
     }
 
-    /// Whether this relay sees the fleet under strain: overload, an outage, a cold return. While one does no turn begins;
-    /// those begun go on.
-    pub fn strain(&mut self, now: Micros, strained: bool) {
+    /// Sets whether this relay sees strain in the fleet: overload, an outage, a cold restart of a destination. While a relay
+    /// sees strain no maintenance begins; what has begun goes on.
+    pub fn set_strained(&mut self, now: Micros, strained: bool) {
         if strained && !self.strained {
             self.ping_at = now;
         }
         self.strained = strained;
     }
 
-    /// Who sees strain that holds the wish of a relay back.
-    fn strained_by(&self, now: Micros, peer: Peer) -> Option<Peer> {
-        let old = self.wishes.of(peer).is_some_and(|wish| self.now_ms >= wish.since + STRAIN_HOLDS_MS);
+    /// The relay whose report of strain delays the request of `peer`, if any.
+    fn strain_reporter(&self, now: Micros, peer: Peer) -> Option<Peer> {
+        let old = self
+            .requests
+            .get(peer)
+            .is_some_and(|request| self.unix_ms >= request.requested_at_ms + MAX_STRAIN_DELAY_MS);
         let own = self.strained.then_some(self.config.me);
-        let said = self.strains.iter().find(|(_, at)| now - **at < STRAINED_FOR).map(|(peer, _)| *peer);
-        own.or(said).filter(|_| !old)
+        let reported =
+            self.strain_reports.iter().find(|(_, at)| now - **at < STRAIN_REPORT_TTL).map(|(peer, _)| *peer);
+        own.or(reported).filter(|_| !old)
     }
 
-    /// The wish for this relay, while it is wanted.
-    fn wanted(&self) -> Option<Wish> {
-        self.wishes.of(self.config.me).filter(|wish| wish.stage == Stage::Wanted).copied()
+    /// The request for this relay, while it is pending.
+    fn own_pending_request(&self) -> Option<DrainRequest> {
+        self.requests.get(self.config.me).filter(|request| request.stage == Stage::Pending).copied()
     }
 
-    fn met(&mut self, unix_ms: u64) {
-        let (me, relays) = (self.config.me, self.config.terms.relays);
-        if let Some(Wish { kind, .. }) = self.wanted() {
-            self.changed |= self.wishes.say(unix_ms, relays, me, kind, Stage::Done);
+    fn complete_own_request(&mut self, unix_ms: u64) {
+        let (me, relays) = (self.config.me, self.config.policy.relays);
+        if let Some(DrainRequest { kind, .. }) = self.own_pending_request() {
+            self.unsaved |= self.requests.update(unix_ms, relays, me, kind, Stage::Done);
         }
         self.ping_at = Micros::MIN;
     }
 
-    /// An operator says something of a relay; whether it is new.
-    pub fn wish(&mut self, now: Micros, relay: Peer, kind: Kind, stage: Stage) -> bool {
-        let new = self.wishes.say(self.now_ms, self.config.terms.relays, relay, kind, stage);
-        self.changed |= new;
+    /// Applies an operator's request for a relay. Returns whether it changed anything.
+    pub fn update_request(&mut self, now: Micros, relay: Peer, kind: Kind, stage: Stage) -> bool {
+        let new = self.requests.update(self.unix_ms, self.config.policy.relays, relay, kind, stage);
+        self.unsaved |= new;
         if new {
             self.ping_at = now;
-            self.heed();
+            self.cancel_if_not_requested();
         }
         new
     }
 
-    /// An operator holds all turns, or lets them go on.
-    pub fn pause(&mut self, now: Micros, paused: bool) -> bool {
-        let new = self.wishes.pause(self.now_ms, self.config.terms.relays, paused);
-        self.changed |= new;
+    /// Pauses or resumes maintenance in the whole fleet. Returns whether that changed anything.
+    pub fn set_paused(&mut self, now: Micros, paused: bool) -> bool {
+        let new = self.requests.set_paused(self.unix_ms, self.config.policy.relays, paused);
+        self.unsaved |= new;
         self.ping_at = if new { now } else { self.ping_at };
         new
     }
 
-    /// The relay is back by an operator's word, before its process ended.
-    pub fn back(&mut self, unix_ms: u64) -> bool {
-        let was_out = self.turn.take().is_some();
+    /// Ends this relay's maintenance on an operator's command, without a restart. Returns whether it was in maintenance.
+    pub fn end_slot(&mut self, unix_ms: u64) -> bool {
+        let was_out = self.slot.take().is_some();
         if was_out {
-            self.met(unix_ms);
-            self.orders.push(Order::Back);
-            self.changed = true;
+            self.complete_own_request(unix_ms);
+            self.actions.push(Action::Resume);
+            self.unsaved = true;
         }
         was_out
     }
 
-    /// What is wanted of this relay may have changed: one that is not to go out any more lets go, or comes back.
-    fn heed(&mut self) {
-        if self.wanted().is_none() {
-            self.asking = None;
-            if self.turn.take().is_some() {
-                self.orders.push(Order::Back);
-                self.changed = true;
+    /// Gives up the vote round and the slot if the request for this relay is no longer pending.
+    fn cancel_if_not_requested(&mut self) {
+        if self.own_pending_request().is_none() {
+            self.vote_round = None;
+            if self.slot.take().is_some() {
+                self.actions.push(Action::Resume);
+                self.unsaved = true;
             }
         }
     }
 
-    /// Another list of relays.
-    pub fn replaced(&mut self, terms: Terms) {
-        self.voter.replaced(terms.relays);
-        self.strains.retain(|peer, _| *peer < terms.relays);
-        self.config.terms = terms;
-        // Votes were for the fleet as it was.
-        self.asking = None;
+    /// Replaces the number of relays and the zones.
+    pub fn set_policy(&mut self, policy: MaintenancePolicy) {
+        self.voter.set_relay_count(policy.relays);
+        self.strain_reports.retain(|peer, _| *peer < policy.relays);
+        self.config.policy = policy;
+        // The votes were given under the previous policy.
+        self.vote_round = None;
     }
 
-    fn state(&self) -> State {
-        match (&self.turn, &self.asking) {
-            (Some(turn), _) => State::Out(turn.seat),
-            (None, Some(asking)) => State::Asks(asking.seat),
-            (None, None) if self.serves => State::Serves,
-            (None, None) => State::Away,
+    fn state(&self) -> RelayState {
+        match (&self.slot, &self.vote_round) {
+            (Some(slot), _) => RelayState::InMaintenance(slot.index),
+            (None, Some(vote_round)) => RelayState::RequestingSlot(vote_round.slot),
+            (None, None) if self.serving => RelayState::Serving,
+            (None, None) => RelayState::Away,
         }
     }
 
-    /// Whether it may go out in that seat, as far as it knows itself.
-    fn may(&self, now: Micros, peer: Peer, seat: u8) -> Result<(), Why> {
-        if self.wishes.paused() {
-            return Err(Why::Paused);
+    /// Checks whether `peer` may take that slot, as far as this relay knows.
+    fn check_vote(&self, now: Micros, peer: Peer, slot: u8) -> Result<(), RefusalReason> {
+        if self.requests.paused() {
+            return Err(RefusalReason::Paused);
         }
-        if let Some(by) = self.strained_by(now, peer) {
-            return Err(Why::Strained(by));
+        if let Some(by) = self.strain_reporter(now, peer) {
+            return Err(RefusalReason::Strained(by));
         }
-        let written_off = |peer| self.wishes.written_off(peer);
-        self.voter.may(now, &self.config.terms, self.state(), peer, seat, written_off)
-    }
-
-    /// The older wish that can be met and is waited for still.
-    fn behind(&mut self, now: Micros, peer: Peer) -> Option<Peer> {
-        let wanted = self.wishes.wanted();
-        let place = wanted.iter().position(|wish| wish.relay == peer)?;
-        for older in wanted.iter().take(place).map(|wish| wish.relay) {
-            let serves = older == self.config.me && self.serves
-                || self.voter.counts(now, &self.config.terms, older) == Counts::Serves;
-            let seats = 0..self.config.terms.seats;
-            if serves && seats.into_iter().any(|seat| self.may(now, older, seat).is_ok()) {
-                let since = *self.yields.entry(older).or_insert(now);
-                if now - since < YIELDS {
+        let written_off = |peer| self.requests.written_off(peer);
+        self.voter.check_vote(now, &self.config.policy, self.state(), peer, slot, written_off)
+    }
+
+    /// The relay with an older request that could be granted, while this relay still waits for it.
+    fn older_request(&mut self, now: Micros, peer: Peer) -> Option<Peer> {
+        let pending = self.requests.pending();
+        let place = pending.iter().position(|request| request.relay == peer)?;
+        for older in pending.iter().take(place).map(|request| request.relay) {
+            let is_serving = older == self.config.me && self.serving
+                || self.voter.status(now, &self.config.policy, older) == RelayStatus::Serving;
+            let slots = 0..self.config.policy.max_unavailable;
+            if is_serving && slots.into_iter().any(|slot| self.check_vote(now, older, slot).is_ok()) {
+                let yielded_at = *self.yielding_since.entry(older).or_insert(now);
+                if now - yielded_at < YIELD_TIMEOUT {
                     return Some(older);
                 }
             }
@@ -305,215 +313,240 @@
         None
     }
 
-    fn asked(&mut self, now: Micros, from: Peer, fence: Fence, seat: u8) {
-        self.yields.remove(&from);
-        // Of two that ask, the one with the older wish goes on.
-        let place = |of: Peer| self.wishes.of(of).map(|wish| (wish.since, wish.relay));
-        if self.asking.is_some()
+    fn answer_vote_request(&mut self, now: Micros, from: Peer, token: FencingToken, slot: u8) {
+        self.yielding_since.remove(&from);
+        // Of two relays that ask at the same time, the one with the older request goes on.
+        let place = |of: Peer| self.requests.get(of).map(|request| (request.requested_at_ms, request.relay));
+        if self.vote_round.is_some()
             && place(from).is_some_and(|theirs| place(self.config.me).is_some_and(|own| theirs < own))
         {
-            self.rest(now);
+            self.back_off(now);
         }
-        let answer = match self.may(now, from, seat) {
-            Err(why) => Word::No(fence, why),
-            Ok(()) => match self.behind(now, from) {
-                Some(older) => Word::No(fence, Why::Behind(older)),
+        let answer = match self.check_vote(now, from, slot) {
+            Err(reason) => Item::Refuse(token, reason),
+            Ok(()) => match self.older_request(now, from) {
+                Some(older) => Item::Refuse(token, RefusalReason::OlderRequestFirst(older)),
                 None => {
-                    self.voter.vote(now, from, seat);
-                    Word::Vote(fence)
+                    self.voter.record_vote(now, from, slot);
+                    Item::Vote(token)
                 }
             },
         };
-        self.out.push((from, answer));
+        self.outbox.push((from, answer));
     }
 
-    fn rest(&mut self, now: Micros) {
-        self.asking = None;
+    fn back_off(&mut self, now: Micros) {
+        self.vote_round = None;
         let spread =
             (u64::from(self.config.me) + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ u64::from(self.round);
-        self.rests_until = now + RESTS + (spread % RESTS as u64) as Micros;
-    }
-
-    fn word(&mut self, now: Micros, from: Peer, word: Word) {
-        let relays = self.config.terms.relays;
-        match word {
-            Word::Ping { mark, wishes } => {
-                self.take(wishes);
-                let held = self.voter.remembers(now, &self.config.terms).then(|| self.voter.held());
-                let (state, wishes) = (self.state(), self.wishes.some());
-                self.out.push((from, Word::Pong { mark, state, held, wishes }));
+        self.backoff_until = now + VOTE_BACKOFF + (spread % VOTE_BACKOFF as u64) as Micros;
+    }
+
+    fn receive_item(&mut self, now: Micros, from: Peer, item: Item) {
+        let relays = self.config.policy.relays;
+        match item {
+            Item::Ping { time, requests } => {
+                self.merge_requests(requests);
+                let held =
+                    self.voter.knows_votes(now, &self.config.policy).then(|| self.voter.outstanding_votes());
+                let (state, requests) = (self.state(), self.requests.next_to_send());
+                self.outbox.push((from, Item::Pong { time, state, held, requests }));
             }
-            Word::Pong { mark, state, held, wishes } => {
-                self.take(wishes);
-                self.voter.heard(now, &self.config.terms, from, mark, state, held.as_deref());
+            Item::Pong { time, state, held, requests } => {
+                self.merge_requests(requests);
+                self.voter.record_answer(now, &self.config.policy, from, time, state, held.as_deref());
             }
-            Word::Ask { fence, seat } if self.config.terms.votes(self.config.me) && from < relays => {
-                self.asked(now, from, fence, seat);
+            Item::RequestSlot { token, slot }
+                if self.config.policy.is_voter(self.config.me) && from < relays =>
+            {
+                self.answer_vote_request(now, from, token, slot);
             }
-            Word::Ask { .. } => {}
-            Word::Strained => {
-                self.strains.insert(from, now);
+            Item::RequestSlot { .. } => {}
+            Item::Strained => {
+                self.strain_reports.insert(from, now);
             }
-            Word::Vote(fence) => {
-                let any = self.voter.without == Guard::Fences;
-                let Some(asking) = &mut self.asking else { return };
-                if any || asking.fence == fence && now - asking.since <= ASKS_FOR {
-                    asking.votes.insert(from);
-                    asking.answered.insert(from);
-                    self.count();
+            Item::Vote(token) => {
+                let skip_check = self.voter.disabled == DisabledCheck::TokenMatch;
+                let Some(vote_round) = &mut self.vote_round else { return };
+                if skip_check
+                    || vote_round.token == token && now - vote_round.started_at <= VOTE_ROUND_TIMEOUT
+                {
+                    vote_round.votes.insert(from);
+                    vote_round.answered.insert(from);
+                    self.begin_slot_if_granted();
                 }
             }
-            Word::No(fence, why) => {
-                self.refused.insert(from, (why, now));
-                if let Some(asking) = self.asking.as_mut().filter(|asking| asking.fence == fence) {
-                    asking.answered.insert(from);
-                    // With too few left that could vote the round is over.
-                    let voters = self.config.terms.voters().count();
-                    let against = asking.answered.len() - asking.votes.len();
-                    if voters - against < self.config.terms.majority() {
-                        self.rest(now);
+            Item::Refuse(token, reason) => {
+                self.refusals.insert(from, (reason, now));
+                if let Some(vote_round) =
+                    self.vote_round.as_mut().filter(|vote_round| vote_round.token == token)
+                {
+                    vote_round.answered.insert(from);
+                    // Too few voters are left for a majority: the round has failed.
+                    let voters = self.config.policy.voters().count();
+                    let against = vote_round.answered.len() - vote_round.votes.len();
+                    if voters - against < self.config.policy.majority() {
+                        self.back_off(now);
                     }
                 }
             }
         }
     }
 
-    fn take(&mut self, wishes: Vec<Wish>) {
-        for wish in wishes {
-            self.changed |= self.wishes.take(self.config.terms.relays, wish);
+    fn merge_requests(&mut self, requests: Vec<DrainRequest>) {
+        for request in requests {
+            self.unsaved |= self.requests.merge(self.config.policy.relays, request);
         }
-        self.heed();
+        self.cancel_if_not_requested();
     }
 
-    fn count(&mut self) {
-        let Some(asking) = self.asking.as_ref() else { return };
-        if asking.votes.len() >= self.config.terms.majority()
-            && let Some(wish) = self.wanted()
+    fn begin_slot_if_granted(&mut self) {
+        let Some(vote_round) = self.vote_round.as_ref() else { return };
+        if vote_round.votes.len() >= self.config.policy.majority()
+            && let Some(request) = self.own_pending_request()
         {
-            let turn = Turn { fence: asking.fence, seat: asking.seat, kind: wish.kind };
-            self.turn = Some(turn);
-            self.asking = None;
-            self.orders.push(Order::Out(turn));
-            self.changed = true;
+            let slot =
+                MaintenanceSlot { token: vote_round.token, index: vote_round.slot, kind: request.kind };
+            self.slot = Some(slot);
+            self.vote_round = None;
+            self.actions.push(Action::Drain(slot));
+            self.unsaved = true;
         }
     }
 
-    /// Asks the voters, where it is to go out and nothing speaks against it that it knows itself.
-    fn ask(&mut self, now: Micros) {
+    /// Starts a vote round if a request for this relay is pending and it knows of no obstacle, and sends slot requests.
+    fn request_votes(&mut self, now: Micros) {
         let me = self.config.me;
-        if self.asking.as_ref().is_some_and(|asking| now - asking.since > ASKS_FOR) {
-            self.rest(now);
+        if self.vote_round.as_ref().is_some_and(|vote_round| now - vote_round.started_at > VOTE_ROUND_TIMEOUT)
+        {
+            self.back_off(now);
         }
-        let idle = self.asking.is_none() && self.turn.is_none();
-        if idle && self.wanted().is_some() && self.serves && now >= self.rests_until {
+        let idle = self.vote_round.is_none() && self.slot.is_none();
+        if idle && self.own_pending_request().is_some() && self.serving && now >= self.backoff_until {
             self.round += 1;
-            let seats = self.config.terms.seats.max(1);
-            let mut seat = (self.round % u32::from(seats)) as u8;
+            let max_unavailable = self.config.policy.max_unavailable.max(1);
+            let mut slot = (self.round % u32::from(max_unavailable)) as u8;
             let mut votes = BTreeSet::new();
-            if self.config.terms.votes(me) {
-                // It is the first that it asks.
-                let first = self.may(now, me, seat).err();
-                let free =
-                    (0..seats).map(|n| (seat + n) % seats).find(|seat| self.may(now, me, *seat).is_ok());
-                let older = free.and_then(|_| self.behind(now, me));
-                let Some(free) = free.filter(|_| older.is_none()) else {
-                    let why = first.or(older.map(Why::Behind));
-                    self.refused.extend(why.map(|why| (me, (why, now))));
-                    return self.rest(now);
+            if self.config.policy.is_voter(me) {
+                // A relay that is a voter itself checks its own vote first.
+                let first = self.check_vote(now, me, slot).err();
+                let free_slot = (0..max_unavailable)
+                    .map(|n| (slot + n) % max_unavailable)
+                    .find(|slot| self.check_vote(now, me, *slot).is_ok());
+                let older = free_slot.and_then(|_| self.older_request(now, me));
+                let Some(free_slot) = free_slot.filter(|_| older.is_none()) else {
+                    let reason = first.or(older.map(RefusalReason::OlderRequestFirst));
+                    self.refusals.extend(reason.map(|reason| (me, (reason, now))));
+                    return self.back_off(now);
                 };
-                seat = free;
-                self.voter.vote(now, me, seat);
+                slot = free_slot;
+                self.voter.record_vote(now, me, slot);
                 votes.insert(me);
-            } else if self.wishes.paused() {
-                return self.rest(now);
+            } else if self.requests.paused() {
+                return self.back_off(now);
             }
-            let fence = Fence { incarnation: self.config.incarnation, round: self.round };
+            let token = FencingToken { incarnation: self.config.incarnation, round: self.round };
             let answered = votes.clone();
-            self.asking = Some(Asking { fence, seat, votes, answered, since: now, again: now });
-            self.count();
+            self.vote_round =
+                Some(VoteRound { token, slot, votes, answered, started_at: now, resend_at: now });
+            self.begin_slot_if_granted();
         }
-        let Some(asking) = self.asking.as_mut().filter(|asking| asking.again <= now) else { return };
-        asking.again = now + AGAIN;
-        let (fence, seat) = (asking.fence, asking.seat);
-        let left = self.config.terms.voters().filter(|voter| !asking.answered.contains(voter));
-        self.out.extend(left.map(|voter| (voter, Word::Ask { fence, seat })));
+        let Some(vote_round) = self.vote_round.as_mut().filter(|vote_round| vote_round.resend_at <= now)
+        else {
+            return;
+        };
+        vote_round.resend_at = now + VOTE_RESEND_INTERVAL;
+        let (token, slot) = (vote_round.token, vote_round.slot);
+        let left = self.config.policy.voters().filter(|voter| !vote_round.answered.contains(voter));
+        self.outbox.extend(left.map(|voter| (voter, Item::RequestSlot { token, slot })));
     }
 
     fn ping(&mut self, now: Micros) {
         if now < self.ping_at {
             return;
         }
-        let Terms { relays, .. } = self.config.terms;
-        let (me, mark) = (self.config.me, self.voter.mark(now));
-        let busy = self.busy() || !self.voter.remembers(now, &self.config.terms);
-        self.ping_at = now + if busy || self.strained { PING } else { IDLE };
-        let to: Vec<Peer> = if busy && self.config.terms.votes(me) {
+        let MaintenancePolicy { relays, .. } = self.config.policy;
+        let (me, time) = (self.config.me, self.voter.time(now));
+        let busy = self.busy() || !self.voter.knows_votes(now, &self.config.policy);
+        self.ping_at = now + if busy || self.strained { PING_INTERVAL } else { IDLE_PING_INTERVAL };
+        let to: Vec<Peer> = if busy && self.config.policy.is_voter(me) {
             (0..relays).filter(|peer| *peer != me).collect()
         } else {
-            self.next_one = (self.next_one + 1) % relays.max(1);
-            std::iter::once(self.next_one).filter(|peer| *peer != me).collect()
+            self.next_ping_peer = (self.next_ping_peer + 1) % relays.max(1);
+            std::iter::once(self.next_ping_peer).filter(|peer| *peer != me).collect()
         };
-        // Also while nothing is wanted: a wish may be asked for before strain could be told.
+        // Strain is also reported while no request is pending, as one may come before the next report.
         if self.strained {
-            let voters = self.config.terms.voters().filter(|peer| *peer != me);
-            self.out.extend(voters.map(|voter| (voter, Word::Strained)));
+            let voters = self.config.policy.voters().filter(|peer| *peer != me);
+            self.outbox.extend(voters.map(|voter| (voter, Item::Strained)));
         }
         for peer in to {
-            let wishes = self.wishes.some();
-            self.out.push((peer, Word::Ping { mark, wishes }));
+            let requests = self.requests.next_to_send();
+            self.outbox.push((peer, Item::Ping { time, requests }));
         }
     }
 
-    /// Whether something is wanted or somebody is out, as far as it knows.
+    /// Whether a request is pending or a relay is in maintenance, as far as this relay knows.
     fn busy(&self) -> bool {
-        self.wishes.any() || self.turn.is_some() || !self.voter.held().is_empty()
+        self.requests.any_pending() || self.slot.is_some() || !self.voter.outstanding_votes().is_empty()
     }
 
-    /// What this relay waits for, in a plain sentence; empty where nothing is wanted of it.
-    pub fn waits_for(&self, now: Micros) -> String {
-        if let Some(turn) = self.turn {
-            return format!("it is out, in seat {} of {}", turn.seat + 1, self.config.terms.seats);
+    /// What this relay waits for, as a sentence for operators. Empty where no request for it is pending.
+    pub fn waiting_reason(&self, now: Micros) -> String {
+        if let Some(slot) = self.slot {
+            return format!(
+                "in maintenance, slot {} of {}",
+                slot.index + 1,
+                self.config.policy.max_unavailable
+            );
         }
-        if self.wanted().is_none() {
+        if self.own_pending_request().is_none() {
             return String::new();
         }
-        if !self.serves {
-            return "it does not serve now, and asks for no turn".into();
+        if !self.serving {
+            return "this relay does not serve, and requests no maintenance slot".into();
         }
-        let lately: Vec<(Peer, Why)> = self
-            .refused
+        let recent: Vec<(Peer, RefusalReason)> = self
+            .refusals
             .iter()
-            .filter(|(_, (_, at))| now - at < REFUSED_FOR)
-            .map(|(p, (why, _))| (*p, *why))
+            .filter(|(_, (_, at))| now - at < REFUSAL_TTL)
+            .map(|(p, (reason, _))| (*p, *reason))
             .collect();
-        let heard = 1 + lately.iter().filter(|(peer, _)| *peer != self.config.me).count();
-        let alike = |why: &Why| lately.iter().filter(|(_, other)| other == why).count();
-        match lately.iter().map(|(_, why)| why).max_by_key(|why| alike(why)) {
-            None => "it asks".into(),
-            Some(Why::JustStarted) => "relays that vote have just started".into(),
-            Some(Why::Unknown(peer)) => {
-                format!("relays that vote do not know yet whether relay {peer} is out")
+        let reporters = 1 + recent.iter().filter(|(peer, _)| *peer != self.config.me).count();
+        let occurrences = |reason: &RefusalReason| recent.iter().filter(|(_, other)| other == reason).count();
+        match recent.iter().map(|(_, reason)| reason).max_by_key(|reason| occurrences(reason)) {
+            None => "waiting for votes".into(),
+            Some(RefusalReason::JustStarted) => "voters have just started".into(),
+            Some(RefusalReason::Unknown(peer)) => {
+                format!("voters do not know yet whether relay {peer} is in maintenance")
+            }
+            Some(RefusalReason::SlotTaken(peer)) => {
+                format!(
+                    "relay {peer} is in maintenance, and at most {} may be",
+                    self.config.policy.max_unavailable
+                )
             }
-            Some(Why::Seat(peer)) => {
-                format!("relay {peer} is out, and no more than {} may be", self.config.terms.seats)
+            Some(RefusalReason::ZoneTaken(peer)) => {
+                format!("relay {peer} of the same zone is in maintenance or unreachable")
             }
-            Some(Why::Zone(peer)) => format!("relay {peer} of the same zone is out or not heard"),
-            Some(Why::TooMany(peer)) => {
-                format!("as many as may be are out or not heard, relay {peer} among them; {heard} said so")
+            Some(RefusalReason::TooMany(peer)) => {
+                format!(
+                    "too many relays are in maintenance or unreachable, among them relay {peer}; reported by {reporters}"
+                )
             }
-            Some(Why::Behind(peer)) => format!("relay {peer} has waited for longer"),
-            Some(Why::Paused) => "operators hold all turns".into(),
-            Some(Why::Strained(peer)) => {
-                format!("a partner is out, returns, or has more to take than it can, as relay {peer} sees it")
+            Some(RefusalReason::OlderRequestFirst(peer)) => format!("relay {peer} has an older request"),
+            Some(RefusalReason::Paused) => "maintenance is paused by operators".into(),
+            Some(RefusalReason::Strained(peer)) => {
+                format!("a destination is down, recovering or overloaded, as reported by relay {peer}")
             }
         }
     }
 
-    /// Whom this relay takes to be out or away, for operators.
-    pub fn not_serving(&self, now: Micros) -> Vec<(Peer, Counts)> {
-        let others = (0..self.config.terms.relays).filter(|peer| *peer != self.config.me);
-        let counts = others.map(|peer| (peer, self.voter.counts(now, &self.config.terms, peer)));
-        counts.filter(|(_, counts)| *counts != Counts::Serves).collect()
+    /// Relays that are in maintenance or not known to serve, for operators.
+    pub fn unavailable_relays(&self, now: Micros) -> Vec<(Peer, RelayStatus)> {
+        let others = (0..self.config.policy.relays).filter(|peer| *peer != self.config.me);
+        let status = others.map(|peer| (peer, self.voter.status(now, &self.config.policy, peer)));
+        status.filter(|(_, status)| *status != RelayStatus::Serving).collect()
     }
 }
 
@@ -522,32 +555,34 @@
         CHANNEL
     }
 
-    /// What it says is bound by what is wanted: nothing but a question now and then while nothing is.
-    fn bound(&self) -> bool {
+    /// The channel needs no budget: the number of pending requests limits its traffic, and without any it only pings.
+    fn is_budgeted(&self) -> bool {
         false
     }
 
-    fn hear(&mut self, now: Micros, from: &Sender, _: &Members, bytes: &[u8]) -> bool {
-        let (words, made_sense) = frame::read(bytes);
-        words.into_iter().for_each(|word| self.word(now, from.peer, word));
-        made_sense
+    fn receive_frame(&mut self, now: Micros, from: &Sender, _: &Members, bytes: &[u8]) -> bool {
+        let (items, valid) = frame::read(bytes);
+        items.into_iter().for_each(|item| self.receive_item(now, from.peer, item));
+        valid
     }
 
-    fn say(&mut self, now: Micros, _: &Members, room: usize, _: usize) -> Vec<Said> {
-        self.ask(now);
+    fn poll_frames(&mut self, now: Micros, _: &Members, room: usize, _: usize) -> Vec<OutgoingFrame> {
+        self.request_votes(now);
         self.ping(now);
-        frame::pack(self.out.drain(..).map(|(to, word)| (to, word.encode())), room)
+        frame::pack(self.outbox.drain(..).map(|(to, item)| (to, item.encode())), room)
     }
 
     fn next_at(&self, now: Micros) -> Micros {
-        if !self.out.is_empty() {
+        if !self.outbox.is_empty() {
             return now;
         }
-        let ask = match &self.asking {
-            Some(asking) => asking.again.min(asking.since + ASKS_FOR + 1),
-            None if self.wanted().is_some() && self.serves && self.turn.is_none() => self.rests_until,
+        let vote_round_due = match &self.vote_round {
+            Some(vote_round) => vote_round.resend_at.min(vote_round.started_at + VOTE_ROUND_TIMEOUT + 1),
+            None if self.own_pending_request().is_some() && self.serving && self.slot.is_none() => {
+                self.backoff_until
+            }
             None => Micros::MAX,
         };
-        ask.min(self.ping_at).max(now)
+        vote_round_due.min(self.ping_at).max(now)
     }
 }
--- a/crates/turns/src/voter.rs
+++ b/crates/turns/src/voter.rs
@@ -1,56 +1,58 @@
-//! What one voter knows of each relay, and for whom it votes. Owns its votes. It must never vote for two in one seat or of
-//! one zone unless it heard the first serve after that vote, nor at all before it knows what it may have forgotten.
+//! One voter: what it knows of each relay, and its votes.
+//!
+//! Invariant: after a vote for a relay it votes for no other in the same slot or zone until that relay has reported that
+//! it serves, and it votes for no relay before it has recovered the votes that it may have lost in a restart.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::note::{MOST_HELD, State, Why};
-use crate::{Mark, Micros, Peer, SECOND, Terms};
+use crate::item::{MAX_VOTES_PER_ITEM, RefusalReason, RelayState};
+use crate::{MaintenancePolicy, Micros, Peer, SECOND, VoterTime};
 
-/// A round of asking takes no longer than this, by the clock of who asks.
-pub const ASKS_FOR: Micros = SECOND;
-/// A voter that starts votes for nobody for so long: every round that it voted in is over by then.
-pub const RESTS: Micros = 2 * SECOND;
-/// Who has not said for so long that it serves is taken to be out.
-pub const SERVES_FOR: Micros = 7 * SECOND / 2;
+/// Maximum duration of a vote round by the clock of the relay that asks, in microseconds.
+pub const VOTE_ROUND_TIMEOUT: Micros = SECOND;
+/// Time after its start for which a voter votes for no relay, in microseconds. By then each round it voted in is over.
+pub const RESTART_WAIT: Micros = 2 * SECOND;
+/// Time after which a relay's report that it serves expires, in microseconds.
+pub const SERVING_TIMEOUT: Micros = 7 * SECOND / 2;
 
-/// What is known of one relay. Invariant: marks are this voter's own, of its present start.
+/// What is known of one relay. Invariant: times are by this voter's own clock, since its present start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Known {
-    /// The latest question that it has answered.
+    /// When the latest ping that it answered was sent, in milliseconds.
     answered: Option<u32>,
-    /// What it said then.
-    state: Option<State>,
-    /// This voter's vote for it that may count still: the seat, and when.
+    /// The state in that answer.
+    state: Option<RelayState>,
+    /// This voter's vote for it, while it may still count: the slot, and when it was given, in milliseconds.
     vote: Option<(u8, u32)>,
 }
 
-/// How a relay counts when another asks.
+/// Status of a relay, as a voter counts it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Counts {
+pub enum RelayStatus {
     /// It serves.
-    Serves,
-    /// It may be out, in this seat.
-    Seated(u8),
-    /// It is out, without a seat: dead, not heard, starting, or emptied by hand.
+    Serving,
+    /// It may be in maintenance, in this slot.
+    HoldsSlot(u8),
+    /// It is unavailable without a slot: dead, unreachable, starting, or put in standby by operators.
     Away,
-    /// It may be out in any seat, for all that this voter knows.
+    /// It may be in maintenance in any slot.
     Unknown,
 }
 
-/// A guard that is taken out, for the explorer to find what breaks without it. In use it is always `None`.
+/// A safety check that model-checking tests disable to show that it is needed. In production always `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub enum Guard {
-    /// All guards are in.
+pub enum DisabledCheck {
+    /// No check is disabled.
     #[default]
     None,
-    /// A voter that starts votes at once, and takes all that it has not heard to serve.
-    Remembers,
-    /// A vote ends with any word that the relay serves, asked for before the vote or after it.
-    AskedAfter,
-    /// A vote counts in whatever round of its relay it comes.
-    Fences,
-    /// A voter votes for whoever asks, whoever is out.
-    One,
+    /// A voter that restarts votes at once, and takes relays that it has not heard for serving.
+    VoteRecovery,
+    /// A vote ends with any report that the relay serves, even in answer to a ping sent before the vote.
+    AnswerAfterVote,
+    /// A vote counts in any round of the relay that it was given to.
+    TokenMatch,
+    /// A voter votes for every relay that asks.
+    Exclusion,
 }
 
 /// A voter.
@@ -60,158 +62,170 @@
     incarnation: u32,
     started: Micros,
     known: BTreeMap<Peer, Known>,
-    /// Who remembers its votes, and said so since this voter may vote again.
-    told: BTreeSet<Peer>,
-    pub(crate) without: Guard,
+    /// Relays that reported all their outstanding votes since this voter's [`RESTART_WAIT`] was over.
+    vote_reporters: BTreeSet<Peer>,
+    pub(crate) disabled: DisabledCheck,
 }
 
 impl Voter {
-    /// A voter that starts now.
+    /// Creates a voter that starts at the present time.
     pub fn new(me: Peer, incarnation: u32, now: Micros) -> Self {
-        let (known, told) = (BTreeMap::new(), BTreeSet::new());
-        Voter { me, incarnation, started: now, known, told, without: Guard::None }
+        let (known, vote_reporters) = (BTreeMap::new(), BTreeSet::new());
+        Voter { me, incarnation, started: now, known, vote_reporters, disabled: DisabledCheck::None }
     }
 
-    /// The mark of a moment.
-    pub fn mark(&self, now: Micros) -> Mark {
+    /// The time by this voter's clock.
+    pub fn time(&self, now: Micros) -> VoterTime {
         let ms = u32::try_from((now - self.started).max(0) / 1000).unwrap_or(u32::MAX);
-        Mark { incarnation: self.incarnation, ms }
+        VoterTime { incarnation: self.incarnation, ms }
     }
 
-    fn rested(&self, now: Micros) -> bool {
-        self.without == Guard::Remembers || now - self.started >= RESTS
+    fn restart_wait_over(&self, now: Micros) -> bool {
+        self.disabled == DisabledCheck::VoteRecovery || now - self.started >= RESTART_WAIT
     }
 
-    /// A relay answers a question of this voter's.
-    pub fn heard(
-        &mut self, now: Micros, terms: &Terms, from: Peer, mark: Mark, state: State,
+    /// Records a relay's answer to a ping that this voter sent at `time`.
+    pub fn record_answer(
+        &mut self, now: Micros, policy: &MaintenancePolicy, from: Peer, time: VoterTime, state: RelayState,
         held: Option<&[(Peer, u8)]>,
     ) {
-        if mark.incarnation != self.incarnation || mark > self.mark(now) || from >= terms.relays {
+        if time.incarnation != self.incarnation || time > self.time(now) || from >= policy.relays {
             return;
         }
         let known = self.known.entry(from).or_default();
-        if known.answered.is_some_and(|last| last > mark.ms) {
+        if known.answered.is_some_and(|last| last > time.ms) {
             return;
         }
-        (known.answered, known.state) = (Some(mark.ms), Some(state));
-        // Who serves, or is away without a turn, has let go of the votes that it had.
-        let asked_after = |at: u32| mark.ms > at || self.without == Guard::AskedAfter;
-        if matches!(state, State::Serves | State::Away) && known.vote.is_some_and(|(_, at)| asked_after(at)) {
+        (known.answered, known.state) = (Some(time.ms), Some(state));
+        // A relay that serves, or is away without a slot, has given up the votes for it.
+        let asked_after = |at: u32| time.ms > at || self.disabled == DisabledCheck::AnswerAfterVote;
+        if matches!(state, RelayState::Serving | RelayState::Away)
+            && known.vote.is_some_and(|(_, at)| asked_after(at))
+        {
             known.vote = None;
         }
-        let since_rest = Micros::from(mark.ms) * 1000 >= RESTS;
-        if let Some(held) = held.filter(|_| since_rest && self.told.insert(from)) {
-            // What others remember and this voter may have forgotten.
-            let ms = self.mark(now).ms;
-            for (peer, seat) in held.iter().filter(|(peer, _)| *peer != self.me && *peer < terms.relays) {
+        let after_restart_wait = Micros::from(time.ms) * 1000 >= RESTART_WAIT;
+        if let Some(held) = held.filter(|_| after_restart_wait && self.vote_reporters.insert(from)) {
+            // Votes that others remember are recorded, as this voter may have lost its own.
+            let ms = self.time(now).ms;
+            for (peer, slot) in held.iter().filter(|(peer, _)| *peer != self.me && *peer < policy.relays) {
                 let known = self.known.entry(*peer).or_default();
-                let serves =
-                    known.state == Some(State::Serves) && known.answered.is_some_and(|at| at >= mark.ms);
-                if known.vote.is_none() && !serves {
-                    known.vote = Some((*seat, ms));
+                let serving = known.state == Some(RelayState::Serving)
+                    && known.answered.is_some_and(|at| at >= time.ms);
+                if known.vote.is_none() && !serving {
+                    known.vote = Some((*slot, ms));
                 }
             }
         }
     }
 
-    /// How a relay counts now.
-    pub fn counts(&self, now: Micros, terms: &Terms, peer: Peer) -> Counts {
+    /// The present status of a relay.
+    pub fn status(&self, now: Micros, policy: &MaintenancePolicy, peer: Peer) -> RelayStatus {
         let Some(known) =
             self.known.get(&peer).filter(|known| known.answered.is_some() || known.vote.is_some())
         else {
-            return match self.without {
-                Guard::Remembers => Counts::Serves,
-                _ if self.informed(terms) => Counts::Away,
-                _ => Counts::Unknown,
+            return match self.disabled {
+                DisabledCheck::VoteRecovery => RelayStatus::Serving,
+                _ if self.informed(policy) => RelayStatus::Away,
+                _ => RelayStatus::Unknown,
             };
         };
-        if let Some((seat, _)) = known.vote {
-            return Counts::Seated(seat);
+        if let Some((slot, _)) = known.vote {
+            return RelayStatus::HoldsSlot(slot);
         }
         match known.state {
-            Some(State::Asks(seat) | State::Out(seat)) => Counts::Seated(seat),
-            Some(State::Serves)
-                if known.answered.is_some_and(|at| self.mark(now).ms - at <= (SERVES_FOR / 1000) as u32) =>
+            Some(RelayState::RequestingSlot(slot) | RelayState::InMaintenance(slot)) => {
+                RelayStatus::HoldsSlot(slot)
+            }
+            Some(RelayState::Serving)
+                if known
+                    .answered
+                    .is_some_and(|at| self.time(now).ms - at <= (SERVING_TIMEOUT / 1000) as u32) =>
             {
-                Counts::Serves
+                RelayStatus::Serving
             }
-            _ => Counts::Away,
+            _ => RelayStatus::Away,
         }
     }
 
-    /// So many others remember their votes that whoever has a turn is among these: it has a majority, of which this voter
-    /// and it itself may be two.
-    fn informed(&self, terms: &Terms) -> bool {
-        let voters = terms.voters().count();
-        self.told.iter().filter(|peer| terms.votes(**peer)).count() > voters - terms.majority()
+    /// Whether so many voters reported their votes that each holder of a slot is among those they named. A holder has the votes
+    /// of a majority, of which this voter and the holder itself may be two.
+    fn informed(&self, policy: &MaintenancePolicy) -> bool {
+        let voters = policy.voters().count();
+        self.vote_reporters.iter().filter(|peer| policy.is_voter(**peer)).count() > voters - policy.majority()
     }
 
-    /// Whether it remembers its votes, or knows by others what it forgot.
-    pub fn remembers(&self, now: Micros, terms: &Terms) -> bool {
-        self.rested(now)
-            && (0..terms.relays)
+    /// Whether this voter remembers its votes, or has recovered them from others.
+    pub fn knows_votes(&self, now: Micros, policy: &MaintenancePolicy) -> bool {
+        self.restart_wait_over(now)
+            && (0..policy.relays)
                 .filter(|peer| *peer != self.me)
-                .all(|peer| self.counts(now, terms, peer) != Counts::Unknown)
+                .all(|peer| self.status(now, policy, peer) != RelayStatus::Unknown)
     }
 
-    /// For whom it has voted and has not heard serve since.
-    pub fn held(&self) -> Vec<(Peer, u8)> {
+    /// Relays that this voter voted for and that have not reported since that they serve, with their slots.
+    pub fn outstanding_votes(&self) -> Vec<(Peer, u8)> {
         let held = self.known.iter().filter_map(|(peer, known)| Some((*peer, known.vote?.0)));
-        held.take(MOST_HELD).collect()
+        held.take(MAX_VOTES_PER_ITEM).collect()
     }
 
-    /// Whether `peer` could have that seat now, as far as this voter knows; it is at `own` itself.
+    /// Checks whether `peer` could take that slot now, as far as this voter knows; its own state is `own`.
     ///
     /// # Errors
     /// Why it could not.
-    pub fn may(
-        &self, now: Micros, terms: &Terms, own: State, peer: Peer, seat: u8,
+    pub fn check_vote(
+        &self, now: Micros, policy: &MaintenancePolicy, own: RelayState, peer: Peer, slot: u8,
         written_off: impl Fn(Peer) -> bool,
-    ) -> Result<(), Why> {
-        if self.without == Guard::One {
+    ) -> Result<(), RefusalReason> {
+        if self.disabled == DisabledCheck::Exclusion {
             return Ok(());
         }
-        if !self.rested(now) {
-            return Err(Why::JustStarted);
+        if !self.restart_wait_over(now) {
+            return Err(RefusalReason::JustStarted);
         }
         let mut away = (0u8, None);
-        for other in (0..terms.relays).filter(|other| *other != peer) {
-            let counts = match own {
-                _ if other != self.me => self.counts(now, terms, other),
-                State::Serves => Counts::Serves,
-                State::Away => Counts::Away,
-                State::Asks(seat) | State::Out(seat) => Counts::Seated(seat),
+        for other in (0..policy.relays).filter(|other| *other != peer) {
+            let status = match own {
+                _ if other != self.me => self.status(now, policy, other),
+                RelayState::Serving => RelayStatus::Serving,
+                RelayState::Away => RelayStatus::Away,
+                RelayState::RequestingSlot(slot) | RelayState::InMaintenance(slot) => {
+                    RelayStatus::HoldsSlot(slot)
+                }
             };
-            match counts {
-                Counts::Serves => {}
+            match status {
+                RelayStatus::Serving => {}
                 _ if written_off(other) => {}
-                Counts::Unknown => return Err(Why::Unknown(other)),
-                _ if terms.same_zone(other, peer) => return Err(Why::Zone(other)),
-                Counts::Seated(taken) if taken == seat => return Err(Why::Seat(other)),
-                Counts::Seated(_) => {}
-                Counts::Away => away = (away.0.saturating_add(1), away.1.or(Some(other))),
+                RelayStatus::Unknown => return Err(RefusalReason::Unknown(other)),
+                _ if policy.same_zone(other, peer) => return Err(RefusalReason::ZoneTaken(other)),
+                RelayStatus::HoldsSlot(held_slot) if held_slot == slot => {
+                    return Err(RefusalReason::SlotTaken(other));
+                }
+                RelayStatus::HoldsSlot(_) => {}
+                RelayStatus::Away => away = (away.0.saturating_add(1), away.1.or(Some(other))),
             }
         }
         match away {
-            (away, Some(one)) if seat.saturating_add(away) >= terms.seats => Err(Why::TooMany(one)),
-            _ if seat >= terms.seats => Err(Why::Seat(peer)),
+            (away, Some(unavailable_relay)) if slot.saturating_add(away) >= policy.max_unavailable => {
+                Err(RefusalReason::TooMany(unavailable_relay))
+            }
+            _ if slot >= policy.max_unavailable => Err(RefusalReason::SlotTaken(peer)),
             _ => Ok(()),
         }
     }
 
-    /// Votes for a relay in a seat.
-    pub fn vote(&mut self, now: Micros, peer: Peer, seat: u8) {
-        let ms = self.mark(now).ms;
-        // Its own vote for itself ends with its round.
+    /// Records a vote for a relay in a slot.
+    pub fn record_vote(&mut self, now: Micros, peer: Peer, slot: u8) {
+        let ms = self.time(now).ms;
+        // A voter's vote for itself ends with its round.
         if peer != self.me {
-            self.known.entry(peer).or_default().vote = Some((seat, ms));
+            self.known.entry(peer).or_default().vote = Some((slot, ms));
         }
     }
 
-    /// Another list of relays: what is known of those that are gone is forgotten.
-    pub fn replaced(&mut self, relays: Peer) {
+    /// Replaces the number of relays, and forgets what is known of those that are gone.
+    pub fn set_relay_count(&mut self, relays: Peer) {
         self.known.retain(|peer, _| *peer < relays);
-        self.told.retain(|peer| *peer < relays);
+        self.vote_reporters.retain(|peer| *peer < relays);
     }
 }
--- a/src/command/run.rs
+++ b/src/command/run.rs
@@ -179,8 +179,8 @@
         let (rules, snapshot) = (&config.settings.rules, (config.state.as_path(), config.snapshot_room()));
         let (inputs, process) = (inputs.clone(), (standing.clone(), leave.clone()));
         let before = match &told {
-            None => fleet::Before::Configured(&known),
-            Some((handed, _)) => fleet::Before::HandedOver(handed.endpoints()),
+            None => fleet::InitialEndpoints::Configured(&known),
+            Some((handed, _)) => fleet::InitialEndpoints::HandedOver(handed.endpoints()),
         };
         let started = tokio::select! {
             started = fleet::start(setup, rules, snapshot, (clock, seed), (inputs, replaced), process, before) => {
@@ -191,7 +191,7 @@
                 return Ok(());
             }
         };
-        (runtime, said) = (runtime.among(started.tell), started.said);
+        (runtime, said) = (runtime.among(started.updates), started.restored_reports);
         let abort = started.task.abort_handle();
         peers = Some((abort, tokio::spawn(watched("peers", &ended, started.task))));
         // What control machines said last goes before the list of the file.
--- a/src/command/turns.rs
+++ b/src/command/turns.rs
@@ -1,4 +1,4 @@
-//! Orders to the fleet's turns, over the control socket of any relay. Owns what they print and how they exit.
+//! Commands for the maintenance of relays, sent over the control socket of any relay.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -11,67 +11,67 @@
 use super::control::Socket;
 use super::publishing::{self, Machines, Named};
 
-/// The relay did not get its turn, or is not back, in the time that was given.
-const NOT_YET: u8 = 3;
-/// Progress is looked at so often.
-const LOOK: Duration = Duration::from_millis(500);
+/// Exit status when the relay is not in maintenance in the given time.
+const EXIT_NOT_IN_MAINTENANCE: u8 = 3;
+/// Interval between queries of the progress.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a machine is taken out for.
+/// What a relay is drained for.
 #[derive(Clone, Copy, ValueEnum)]
 pub enum Kind {
-    /// The process ends by itself once it is empty, and whatever looks after it starts it again
+    /// The process exits by itself once it is drained, and its supervisor restarts it
     Restart,
-    /// The same, with another build
+    /// As for restart, with another build
     Upgrade,
-    /// The process stays, emptied, until the machine goes down
+    /// The process stays, drained, until the machine goes down
     Reboot,
-    /// The same, and another machine comes back
+    /// As for reboot, and another machine takes its place
     Replace,
 }
 
-/// An order for one relay.
+/// Arguments of a command for one relay.
 #[derive(Args)]
-pub struct One {
+pub struct RelayArgs {
     #[command(flatten)]
     socket: Socket,
-    /// The relay's number; the one that is asked without it
+    /// The relay's number; by default the relay whose socket is used
     #[arg(long, value_name = "NUMBER")]
     relay: Option<u16>,
 }
 
-/// A wish for one relay.
+/// Arguments of a drain request for one relay.
 #[derive(Args)]
-pub struct Out {
+pub struct DrainArgs {
     #[command(flatten)]
-    one: One,
-    /// What for
+    target: RelayArgs,
+    /// What the relay is drained for
     #[arg(long, value_enum, default_value = "restart")]
     kind: Kind,
-    /// Wait until the relay is out, for so many seconds at the most, and say meanwhile what it waits for
+    /// Wait at most this long until the relay is in maintenance, and print meanwhile what it waits for
     #[arg(long, value_name = "SECONDS")]
     wait: Option<u64>,
 }
 
-/// Orders for many relays, and what is known of them.
+/// Commands for many relays, and queries of the fleet's state.
 #[derive(Subcommand)]
-pub enum Fleet {
-    /// Shows, by destination, whom a running relay asks for permits, whether its own part of the limit is lent, and how many
-    /// parts are lent to it
+pub enum FleetCommand {
+    /// Shows, by destination, which relay coordinates the limit for a running relay, whether its own share of the limit is
+    /// lent, and how many shares are lent to it
     Show {
         #[command(flatten)]
         socket: Socket,
     },
-    /// Shows who wants to go out, who is out, and what this relay waits for
+    /// Shows the drain requests, the relays in maintenance, and what this relay waits for
     Turns {
         #[command(flatten)]
         socket: Socket,
     },
-    /// Shows the version of the destination set that is in force on a relay, from whom it has it, and what it refused
+    /// Shows the version of the destination set in force on a relay, where it came from, and what was refused
     Configuration {
         #[command(flatten)]
         socket: Socket,
     },
-    /// Publishes operations on the destination set at the control machines, as one change that is in force whole
+    /// Publishes operations on the destination set at the control machines, as one atomic change
     Publish {
         #[command(flatten)]
         machines: Machines,
@@ -81,7 +81,7 @@
         #[arg(value_name = "OPERATIONS.json")]
         file: PathBuf,
     },
-    /// Undoes all changes of the destination set after one, by a change of its own
+    /// Reverts all changes of the destination set after a given one, by a new change
     Rollback {
         #[command(flatten)]
         machines: Machines,
@@ -91,55 +91,55 @@
         #[arg(value_name = "NUMBER")]
         to: u64,
     },
-    /// Shows each second how the control machines are: who leads, which version they have, and whom they refuse
+    /// Shows the state of the control machines each second: the leader, their versions, and what they refuse
     Watch {
         #[command(flatten)]
         machines: Machines,
-        /// One look only
+        /// Show the state only once
         #[arg(long)]
         once: bool,
     },
-    /// Wishes every relay out, or every relay of a zone, one after the other as the fleet settles it
+    /// Requests maintenance of every relay, or of every relay of a zone, one after the other as the fleet permits
     Roll {
         #[command(flatten)]
         socket: Socket,
         /// All relays
         #[arg(long, required_unless_present = "zone", conflicts_with = "zone")]
         all: bool,
-        /// Those of this zone
+        /// The relays of this zone
         #[arg(long)]
         zone: Option<u16>,
-        /// What for
+        /// What the relays are drained for
         #[arg(long, value_enum, default_value = "restart")]
         kind: Kind,
     },
-    /// Holds all new turns; those that have begun go on
+    /// Pauses new maintenance; what has begun goes on
     Pause {
         #[command(flatten)]
         socket: Socket,
     },
-    /// Lets turns go on
+    /// Resumes maintenance after a pause
     Resume {
         #[command(flatten)]
         socket: Socket,
     },
-    /// Gives up a relay that will not be back, so that its place is free; it may return all the same
+    /// Writes off a relay that will not be back, so that it no longer counts as unavailable; it may still return
     WriteOff {
         #[command(flatten)]
         socket: Socket,
-        /// Its number
+        /// The relay's number
         relay: u16,
     },
 }
 
-/// As the relay reads it.
-fn kind(kind: Kind) -> Option<String> {
+/// The kind as it is named on the control socket.
+fn kind_name(kind: Kind) -> Option<String> {
     kind.to_possible_value().map(|value| value.get_name().to_string())
 }
 
-/// Gives an order, and prints what came of it.
-fn order(socket: &Socket, order: &Value) -> Result<ExitCode, Failure> {
-    let answer = socket.ask(&order.to_string())?;
+/// Sends a command, and prints the answer.
+fn send_command(socket: &Socket, command: &Value) -> Result<ExitCode, Failure> {
+    let answer = socket.ask(&command.to_string())?;
     print(socket, &answer, answer.get("turns"));
     Ok(ExitCode::SUCCESS)
 }
@@ -149,15 +149,15 @@
         return println!("{answer}");
     }
     let turns = turns.unwrap_or(&Value::Null);
-    let said = turns.get("waits_for").and_then(Value::as_str).unwrap_or_default();
-    let me = turns.get("relay").and_then(Value::as_u64).unwrap_or_default();
+    let waiting_reason = turns.get("waits_for").and_then(Value::as_str).unwrap_or_default();
+    let relay = turns.get("relay").and_then(Value::as_u64).unwrap_or_default();
     match answer.get("new").and_then(Value::as_bool) {
         Some(true) => println!("taken"),
-        Some(false) => println!("so it was already"),
+        Some(false) => println!("already so"),
         None => {}
     }
     if turns.get("paused").and_then(Value::as_bool) == Some(true) {
-        println!("all new turns are held");
+        println!("new maintenance is paused");
     }
     for (title, key, what) in [("wanted", "wishes", "stage"), ("not serving", "not_serving", "is")] {
         for row in turns.get(key).and_then(Value::as_array).into_iter().flatten() {
@@ -165,92 +165,95 @@
             println!("{title}: relay {} {} {}", text("relay"), text("kind"), text(what));
         }
     }
-    if !said.is_empty() {
-        println!("relay {me}: {said}");
+    if !waiting_reason.is_empty() {
+        println!("relay {relay}: {waiting_reason}");
     }
 }
 
-/// Wishes a relay out.
+/// Requests that a relay is drained, and waits for it if asked to.
 ///
 /// # Errors
-/// Where no relay answers, or it does not take the order.
-pub fn out(out: &Out) -> Result<ExitCode, Failure> {
-    let order = json!({"turns": "out", "relay": out.one.relay, "kind": kind(out.kind)});
-    let socket = &out.one.socket;
-    let Some(seconds) = out.wait else { return self::order(socket, &order) };
-    let until = Instant::now() + Duration::from_secs(seconds);
-    let first = socket.ask(&order.to_string())?;
-    let relay = out.one.relay.map(u64::from);
-    let relay = relay.or(first.pointer("/turns/relay").and_then(Value::as_u64)).unwrap_or_default();
-    let mut last = String::new();
-    while Instant::now() < until {
-        // A relay that answers no more may have ended in its turn already.
+/// Where no relay answers, or it refuses the command.
+pub fn out(args: &DrainArgs) -> Result<ExitCode, Failure> {
+    let command = json!({"turns": "out", "relay": args.target.relay, "kind": kind_name(args.kind)});
+    let socket = &args.target.socket;
+    let Some(seconds) = args.wait else { return self::send_command(socket, &command) };
+    let deadline = Instant::now() + Duration::from_secs(seconds);
+    let first_answer = socket.ask(&command.to_string())?;
+    let relay = args.target.relay.map(u64::from);
+    let relay = relay.or(first_answer.pointer("/turns/relay").and_then(Value::as_u64)).unwrap_or_default();
+    let mut last_reason = String::new();
+    while Instant::now() < deadline {
+        // A relay that no longer answers may have exited for its maintenance.
         let Ok(answer) = socket.ask("{\"turns\": \"show\"}") else {
-            println!("the relay that was asked answers no more");
+            println!("the relay no longer answers");
             return Ok(ExitCode::SUCCESS);
         };
         let turns = answer.get("turns").cloned().unwrap_or_default();
         let rows = |key: &str| turns.get(key).and_then(Value::as_array).cloned().unwrap_or_default();
-        let of = |row: &Value| row.get("relay").and_then(Value::as_u64) == Some(relay);
-        let is = rows("not_serving").iter().find(|row| of(row)).and_then(|row| row.get("is").cloned());
-        let own = turns.get("relay").and_then(Value::as_u64) == Some(relay);
-        if own && !turns.get("turn").is_none_or(Value::is_null)
-            || is.is_some_and(|is| is.to_string().contains("seat"))
+        let is_relay = |row: &Value| row.get("relay").and_then(Value::as_u64) == Some(relay);
+        let status =
+            rows("not_serving").iter().find(|row| is_relay(row)).and_then(|row| row.get("is").cloned());
+        let is_asked_relay = turns.get("relay").and_then(Value::as_u64) == Some(relay);
+        if is_asked_relay && !turns.get("turn").is_none_or(Value::is_null)
+            || status.is_some_and(|status| status.to_string().contains("seat"))
         {
             print(socket, &answer, Some(&turns));
             return Ok(ExitCode::SUCCESS);
         }
         if rows("wishes")
             .iter()
-            .any(|row| of(row) && row.get("stage").and_then(Value::as_str) != Some("wanted"))
+            .any(|row| is_relay(row) && row.get("stage").and_then(Value::as_str) != Some("wanted"))
         {
-            println!("relay {relay} is back, or the wish was given up");
+            println!("relay {relay} is back, or the request was withdrawn");
             return Ok(ExitCode::SUCCESS);
         }
-        let said = turns.get("waits_for").and_then(Value::as_str).unwrap_or_default().to_string();
-        if said != last && !said.is_empty() {
-            eprintln!("{said}");
-            last = said;
+        let waiting_reason = turns.get("waits_for").and_then(Value::as_str).unwrap_or_default().to_string();
+        if waiting_reason != last_reason && !waiting_reason.is_empty() {
+            eprintln!("{waiting_reason}");
+            last_reason = waiting_reason;
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
-    eprintln!("tulipfall: relay {relay} is not out yet; the wish stands");
-    Ok(ExitCode::from(NOT_YET))
+    eprintln!("tulipfall: relay {relay} is not in maintenance yet; the request stays pending");
+    Ok(ExitCode::from(EXIT_NOT_IN_MAINTENANCE))
 }
 
-/// Brings back a relay that is out, before its process ended.
+/// Ends the maintenance of a relay, without a restart.
 ///
 /// # Errors
 /// As for [`out`].
-pub fn back(one: &Socket) -> Result<ExitCode, Failure> {
-    order(one, &json!({"turns": "back"}))
+pub fn back(socket: &Socket) -> Result<ExitCode, Failure> {
+    send_command(socket, &json!({"turns": "back"}))
 }
 
-/// Gives a wish up.
+/// Withdraws a drain request.
 ///
 /// # Errors
 /// As for [`out`].
-pub fn abort(one: &One) -> Result<ExitCode, Failure> {
-    order(&one.socket, &json!({"turns": "abort", "relay": one.relay}))
+pub fn abort(args: &RelayArgs) -> Result<ExitCode, Failure> {
+    send_command(&args.socket, &json!({"turns": "abort", "relay": args.relay}))
 }
 
-/// Orders for many, and what is known.
+/// Runs a command for many relays, or a query.
 ///
 /// # Errors
 /// As for [`out`].
-pub fn fleet(command: &Fleet) -> Result<ExitCode, Failure> {
+pub fn fleet(command: &FleetCommand) -> Result<ExitCode, Failure> {
     match command {
-        Fleet::Show { socket } => super::peers::show(socket, "shares"),
-        Fleet::Turns { socket } => order(socket, &json!({"turns": "show"})),
-        Fleet::Configuration { socket } => super::configuration::show(socket),
-        Fleet::Publish { machines, named, file } => publishing::publish(machines, named, file),
-        Fleet::Rollback { machines, named, to } => publishing::roll_back(machines, named, *to),
-        Fleet::Watch { machines, once } => publishing::watch(machines, *once),
-        Fleet::Roll { socket, zone, kind: what, .. } => {
-            order(socket, &json!({"turns": "roll", "zone": zone, "kind": kind(*what)}))
+        FleetCommand::Show { socket } => super::peers::show(socket, "shares"),
+        FleetCommand::Turns { socket } => send_command(socket, &json!({"turns": "show"})),
+        FleetCommand::Configuration { socket } => super::configuration::show(socket),
+        FleetCommand::Publish { machines, named, file } => publishing::publish(machines, named, file),
+        FleetCommand::Rollback { machines, named, to } => publishing::roll_back(machines, named, *to),
+        FleetCommand::Watch { machines, once } => publishing::watch(machines, *once),
+        FleetCommand::Roll { socket, zone, kind, .. } => {
+            send_command(socket, &json!({"turns": "roll", "zone": zone, "kind": kind_name(*kind)}))
+        }
+        FleetCommand::Pause { socket } => send_command(socket, &json!({"turns": "pause"})),
+        FleetCommand::Resume { socket } => send_command(socket, &json!({"turns": "resume"})),
+        FleetCommand::WriteOff { socket, relay } => {
+            send_command(socket, &json!({"turns": "write-off", "relay": relay}))
         }
-        Fleet::Pause { socket } => order(socket, &json!({"turns": "pause"})),
-        Fleet::Resume { socket } => order(socket, &json!({"turns": "resume"})),
-        Fleet::WriteOff { socket, relay } => order(socket, &json!({"turns": "write-off", "relay": relay})),
     }
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -110,7 +110,7 @@
 
     /// Whether the relay exchanges health observations with its peers.
     fn shares_observations(&self) -> bool {
-        self.fleet.as_ref().is_some_and(|fleet| fleet.facts.is_some())
+        self.fleet.as_ref().is_some_and(|fleet| fleet.observations.is_some())
     }
 }
 
--- a/src/config/operator/fleet.rs
+++ b/src/config/operator/fleet.rs
@@ -9,7 +9,7 @@
 
 use crate::config::error::ConfigError;
 use crate::config::fleet::{DEFAULT_BYTES_PER_S, parse_address, parse_zones};
-use crate::fleet::{FactsSetup, Setup, TurnsSetup};
+use crate::fleet::{MaintenanceSetup, ObservationSetup, Setup};
 
 use super::Table;
 
@@ -32,7 +32,7 @@
     let permits = read_permits(table)?;
     let repeats = read_repeats(table)?;
     let zones = parse_zones(table.get("zones"), all.len()).map_err(|why| table.bad("zones", why))?;
-    let turns = read_seats(table)?.map(|seats| TurnsSetup { seats, zones });
+    let turns = read_seats(table)?.map(|seats| MaintenanceSetup { max_unavailable: seats, zones });
     let warm = table.get("warm_start").is_none_or(|value| value.as_bool() != Some(false));
     let setup = Setup {
         me: u16::try_from(me).map_err(|_| table.bad("me", "is over 65535"))?,
@@ -42,7 +42,7 @@
         keys,
         permits,
         repeats,
-        facts: Some(FactsSetup { warm }),
+        observations: Some(ObservationSetup { warm }),
         turns,
         distribution: None,
         control: table.maybe_text("control")?.map(|path| folder.join(path)),
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -7,7 +7,7 @@
 use permits::Sharing;
 use serde_json::Value;
 
-use crate::fleet::{FactsSetup, Setup, TurnsSetup};
+use crate::fleet::{MaintenanceSetup, ObservationSetup, Setup};
 use crate::net::discovery::{Told, told};
 
 use super::error::{ConfigError, bad};
@@ -190,8 +190,8 @@
         keys: Keys::default(),
         permits,
         repeats: options.repeats,
-        facts: options.facts.then_some(FactsSetup { warm: true }),
-        turns: options.seats.map(|seats| TurnsSetup { seats, zones }),
+        observations: options.facts.then_some(ObservationSetup { warm: true }),
+        turns: options.seats.map(|seats| MaintenanceSetup { max_unavailable: seats, zones }),
         distribution: None,
         control: options.control,
     }))
--- a/src/fleet/control.rs
+++ b/src/fleet/control.rs
@@ -1,4 +1,4 @@
-//! The control socket of a relay, on which an operator sends one line and gets one line of JSON.
+//! The control socket of a relay: an operator sends one line and receives one line of JSON.
 
 use std::io::ErrorKind;
 use std::path::Path;
@@ -9,16 +9,17 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::{mpsc, oneshot};
 
-/// An operator's line comes whole within this, and is no longer than that.
-const LINE_WITHIN: Duration = Duration::from_secs(2);
-const LONGEST_LINE: u64 = 4096;
-/// Operators that wait for an answer at the most.
-pub(super) const ASKED: usize = 8;
+/// Time limit for receiving an operator's line.
+const LINE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum length of an operator's line.
+const MAX_LINE_BYTES: u64 = 4096;
+/// Maximum number of commands that wait to be handled.
+pub(super) const MAX_PENDING_COMMANDS: usize = 8;
 
-/// What an operator asks, and where the answer goes.
-pub(super) type Asked = (String, oneshot::Sender<Value>);
+/// An operator's line, and the channel for the answer.
+pub(super) type Command = (String, oneshot::Sender<Value>);
 
-/// Opens the socket. What an earlier process left there answers nobody.
+/// Opens the socket, in place of one that an earlier process left behind.
 pub(super) fn listen(path: &Path) -> std::io::Result<UnixListener> {
     match std::fs::remove_file(path) {
         Err(error) if error.kind() != ErrorKind::NotFound => return Err(error),
@@ -27,7 +28,7 @@
     UnixListener::bind(path)
 }
 
-/// The next operator; never one where there is no socket.
+/// Accepts the next connection. Never returns without a socket.
 pub(super) async fn accept(control: Option<&UnixListener>) -> std::io::Result<UnixStream> {
     match control {
         Some(listener) => listener.accept().await.map(|(stream, _)| stream),
@@ -35,15 +36,15 @@
     }
 }
 
-/// One line asks, one line answers.
-pub(super) async fn serve(mut stream: UnixStream, ask: mpsc::Sender<Asked>) {
-    let (read, mut write) = stream.split();
+/// Reads one line from a connection, and writes the answer.
+pub(super) async fn serve(mut stream: UnixStream, commands: mpsc::Sender<Command>) {
+    let (reader, mut write) = stream.split();
     let mut line = String::new();
-    let mut read = BufReader::new(read.take(LONGEST_LINE));
-    let whole = tokio::time::timeout(LINE_WITHIN, read.read_line(&mut line)).await;
+    let mut reader = BufReader::new(reader.take(MAX_LINE_BYTES));
+    let read_result = tokio::time::timeout(LINE_TIMEOUT, reader.read_line(&mut line)).await;
     let (answer, answered) = oneshot::channel();
-    if matches!(whole, Ok(Ok(_)))
-        && ask.send((line, answer)).await.is_ok()
+    if matches!(read_result, Ok(Ok(_)))
+        && commands.send((line, answer)).await.is_ok()
         && let Ok(answer) = answered.await
     {
         let _ = write.write_all(format!("{answer}\n").as_bytes()).await;
--- a/src/fleet/distribution/listing.rs
+++ b/src/fleet/distribution/listing.rs
@@ -8,12 +8,13 @@
 use crate::interface::Listed;
 use crate::wire::RawEntry;
 
-/// The one kind and the one zone of endpoints in an operator's file, which every endpoint of the set counts as: an
-/// unknown kind would leave the endpoint out.
+/// The kind of each endpoint of the set. It is the only kind in an operator's file; an endpoint of an unknown kind would be
+/// left out.
 const KIND: &str = "partner";
+/// The zone of each endpoint of the set, which is the only zone in an operator's file.
 const ZONE: &str = "here";
 
-/// The ids of the endpoints that the runtime was told of, by destination, so that it can be told which are gone.
+/// The ids of the endpoints that were sent to the runtime, by destination, so that removed ones can be reported to it.
 pub(super) struct Listing(BTreeMap<i64, Vec<String>>);
 
 impl Listing {
@@ -34,7 +35,7 @@
         self.0.len()
     }
 
-    /// Takes over these destinations as they are in the set. Returns their endpoints, and those that are gone.
+    /// Updates these destinations from the set. Returns their endpoints, and the removed ones.
     pub(super) fn update(
         &mut self, set: &DestinationSet, destinations: BTreeSet<DestinationId>,
     ) -> Vec<Member> {
@@ -42,9 +43,9 @@
         for destination in destinations {
             let listed = members_of(set, destination);
             let ids: Vec<String> = listed.iter().map(|member| member.id.clone()).collect();
-            let before = self.0.remove(&destination.0).unwrap_or_default();
-            let gone = before.into_iter().filter(|id| !ids.contains(id));
-            members.extend(gone.map(|id| gone_member(destination, id)));
+            let previous = self.0.remove(&destination.0).unwrap_or_default();
+            let removed = previous.into_iter().filter(|id| !ids.contains(id));
+            members.extend(removed.map(|id| removed_member(destination, id)));
             members.extend(listed);
             if !ids.is_empty() {
                 self.0.insert(destination.0, ids);
@@ -67,8 +68,8 @@
     endpoints.map(|endpoint| member(destination, endpoint)).collect()
 }
 
-/// An endpoint's id is unique within its destination only. One whose id is its address has the id that the operator's file
-/// gives it, so that it goes on as the same endpoint.
+/// Converts an endpoint. An endpoint's id is unique only within its destination, so the destination precedes it. If the id is
+/// the address, the result equals the id in an operator's file, so that both are the same endpoint to the runtime.
 fn member(destination: DestinationId, endpoint: EndpointRef<'_>) -> Member {
     let listed = match endpoint.phase {
         Phase::Ready => Listed::InService,
@@ -82,7 +83,7 @@
     }
 }
 
-fn gone_member(destination: DestinationId, id: String) -> Member {
+fn removed_member(destination: DestinationId, id: String) -> Member {
     Member { entry: entry(destination, Listed::Gone, 0.0, &id), address: "".into(), id }
 }
 
--- a/src/fleet/distribution/set_file.rs
+++ b/src/fleet/distribution/set_file.rs
@@ -1,13 +1,13 @@
-//! The file in which a relay keeps the destination set for its next start.
+//! The file that holds a relay's destination set for its next start.
 //!
 //! | part | bytes |
 //! | --- | --- |
 //! | signed change that led to the version | length `u32` little-endian, encoded [`SignedChange`] |
 //! | set | as in [`destinations::persist`] |
 //!
-//! The file is written beside the old one in portions, between which the relay does other work, and then renamed. It is
-//! not synced: what a power cut spoils is found out at the next start, and fetched again. A second file names the newest
-//! version that was kept, so that an older file put in the place of the newest one is found out, too.
+//! The new file is written beside the old one in portions, between which the relay does other work, and then renamed. It is
+//! not synced: a file corrupted by a power failure is detected at the next start, and the set is fetched again. A second file
+//! holds the newest version that was written, so that an older file in place of the newest one is detected, too.
 
 use std::fs::File;
 use std::io::{BufReader, ErrorKind, Read, Write};
@@ -21,99 +21,100 @@
 use rollout::Node;
 use tracing::warn;
 
-use super::super::kept;
+use super::super::state_file;
 use crate::interface::Micros;
 
 /// The file's name in the state folder.
 const NAME: &str = "configuration.set";
 /// The name of the file that is being written.
 const NAME_UNFINISHED: &str = "configuration.set.unfinished";
-/// The name of the file with the newest version that was kept.
+/// The name of the file with the newest version that was written.
 const NAME_VERSION: &str = "configuration.version";
-/// A change is kept so soon after it is in force, in microseconds, so that changes in a row are kept together.
-const SOON: Micros = 500_000;
-/// The least time from one file to the next, in microseconds.
-const EVERY: Micros = 4_000_000;
-/// The time from one portion to the next, in microseconds.
-const BETWEEN_PORTIONS: Micros = 5_000;
-/// A portion ends with the bucket that reaches so many bytes.
+/// Delay from a change to the next write, in microseconds, so that successive changes are written together.
+const CHANGE_WRITE_DELAY: Micros = 500_000;
+/// Minimum interval between two files, in microseconds.
+const MIN_WRITE_INTERVAL: Micros = 4_000_000;
+/// Interval between portions, in microseconds.
+const PORTION_INTERVAL: Micros = 5_000;
+/// A portion ends with the bucket that reaches this number of bytes.
 const PORTION_BYTES: u64 = 64 * 1024;
-/// After so many files in a row that were given up because the set changed meanwhile, one is written at a stretch.
-const MOST_GIVEN_UP: u32 = 4;
-/// How long it waits after an error, in microseconds.
-const AFTER_ERROR: Micros = 30_000_000;
-/// Bytes that are read at once.
+/// Number of successive files that may be abandoned because the set changed meanwhile. The next one is written as one
+/// portion.
+const MAX_RESTARTED_WRITES: u32 = 4;
+/// Pause after an error, in microseconds.
+const ERROR_RETRY_INTERVAL: Micros = 30_000_000;
+/// Size of the read buffer, in bytes.
 const READ_BYTES: usize = 64 * 1024;
 
-/// Why a file cannot be used, or not be written.
+/// Why a file cannot be read or written.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SetFileError {
     /// The disk failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// It would take more of the disk than it may, or takes more.
-    #[error("more than {0} bytes, which is all that limits.disk_mb leaves for it")]
+    /// It exceeds its size limit.
+    #[error("the file exceeds {0} bytes, which is what limits.disk_mb leaves for it")]
     NoRoom(u64),
-    /// The part with the signed change is longer than one.
-    #[error("it does not begin with a signed change")]
+    /// The first part is longer than a signed change.
+    #[error("the file does not begin with a signed change")]
     NoChange,
-    /// The bytes are no signed change.
+    /// The first part cannot be decoded as a signed change.
     #[error(transparent)]
     Decode(#[from] DecodeError),
-    /// No control key signed the change.
+    /// The change's signature is not valid for any control key.
     #[error(transparent)]
     Verify(#[from] VerifyError),
     /// The set is damaged.
     #[error(transparent)]
     Set(#[from] FileError),
-    /// The signed change led to another set.
-    #[error("the signed change does not lead to this set")]
-    NotVouched,
-    /// A newer one was kept.
-    #[error("version {got} is older than {kept}, which was kept before")]
+    /// The signed change belongs to another version of the set.
+    #[error("the signed change does not match the set in the file")]
+    ChangeMismatch,
+    /// A newer version was written before.
+    #[error("version {got} is older than version {newest_written}, which was written before")]
     Older {
         /// The version of the file.
         got: Version,
-        /// The newest version that was kept.
-        kept: Version,
+        /// The newest version that was written.
+        newest_written: Version,
     },
 }
 
-/// The file, and when it is written next.
+/// The file, and when it is due.
 pub(super) struct SetFile {
     folder: PathBuf,
     path: PathBuf,
-    room: u64,
+    max_bytes: u64,
     due: Micros,
-    /// Not before this the next file is begun.
-    begin_from: Micros,
+    /// Earliest start of the next file.
+    not_before: Micros,
     writing: Option<Writing>,
-    given_up: u32,
+    restarted_writes: u32,
 }
 
 impl SetFile {
-    /// The file of a state folder, of at most so many bytes.
-    pub(super) fn new(folder: &Path, room: u64) -> Self {
+    /// The file in a state folder, of at most `max_bytes`.
+    pub(super) fn new(folder: &Path, max_bytes: u64) -> Self {
         SetFile {
             folder: folder.into(),
             path: folder.join(NAME),
-            room,
+            max_bytes,
             due: Micros::MAX,
-            begin_from: Micros::MIN,
+            not_before: Micros::MIN,
             writing: None,
-            given_up: 0,
+            restarted_writes: 0,
         }
     }
 
-    /// Where it is.
+    /// The file's path.
     pub(super) fn path(&self) -> &Path {
         &self.path
     }
 
-    /// The set that was kept and the signed change that vouches for it; none where there is no file.
+    /// Reads the set and the signed change that led to it. `None` if there is no file.
     ///
     /// # Errors
-    /// If the file is damaged, not signed by a control key, too large or older than the newest one that was kept.
+    /// If the file is damaged, not signed by a control key, too large, or older than the newest one that was written.
     pub(super) fn read(
         &self, keys: &ControlKeys,
     ) -> Result<Option<(DestinationSet, SignedChange)>, SetFileError> {
@@ -122,31 +123,31 @@
             Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
             Err(error) => return Err(error.into()),
         };
-        if file.metadata()?.len() > self.room {
-            return Err(SetFileError::NoRoom(self.room));
+        if file.metadata()?.len() > self.max_bytes {
+            return Err(SetFileError::NoRoom(self.max_bytes));
         }
         let mut file = BufReader::with_capacity(READ_BYTES, file);
         let signed = read_change(&mut file)?;
         let change = signed.verify(keys)?;
         let set = read_set(&mut file)?;
         if (change.version, change.digest) != (set.version(), set.digest()) {
-            return Err(SetFileError::NotVouched);
+            return Err(SetFileError::ChangeMismatch);
         }
-        let kept: Version = kept::read(&self.folder.join(NAME_VERSION));
-        if set.version() < kept {
-            return Err(SetFileError::Older { got: set.version(), kept });
+        let newest_written: Version = state_file::read(&self.folder.join(NAME_VERSION));
+        if set.version() < newest_written {
+            return Err(SetFileError::Older { got: set.version(), newest_written });
         }
         Ok(Some((set, signed)))
     }
 
-    /// The set has changed: the file is written soon.
-    pub(super) fn changed(&mut self, now: Micros) {
+    /// Schedules a write after a change of the set.
+    pub(super) fn schedule_write(&mut self, now: Micros) {
         if self.writing.is_none() {
-            self.due = self.due.min((now + SOON).max(self.begin_from));
+            self.due = self.due.min((now + CHANGE_WRITE_DELAY).max(self.not_before));
         }
     }
 
-    /// When [`SetFile::step`] has something to do next.
+    /// When [`SetFile::step`] is due next.
     pub(super) fn due(&self) -> Micros {
         self.due
     }
@@ -157,13 +158,16 @@
             return;
         }
         if let Err(error) = self.write_portion(now, node) {
-            warn!("{}: {error}; the one before stays", self.path.display());
-            // Its bytes are of no more use; where it cannot be removed either, the next one is written over it.
+            warn!("{}: {error}; the previous file stays", self.path.display());
+            // The unfinished file is useless. If it cannot be removed either, the next one overwrites it.
             let _ = std::fs::remove_file(self.unfinished());
-            // More room comes with another set alone, and with that the file is due anyway.
-            let again =
-                if matches!(error, SetFileError::NoRoom(_)) { Micros::MAX } else { now + AFTER_ERROR };
-            (self.writing, self.due) = (None, again);
+            // Only another set can be smaller, and a change of the set schedules a write anyway.
+            let next_attempt = if matches!(error, SetFileError::NoRoom(_)) {
+                Micros::MAX
+            } else {
+                now + ERROR_RETRY_INTERVAL
+            };
+            (self.writing, self.due) = (None, next_attempt);
         }
     }
 
@@ -183,34 +187,35 @@
                 }
             },
         };
-        let portion = if self.given_up < MOST_GIVEN_UP { PORTION_BYTES } else { u64::MAX };
-        match writing.portion(node.set(), portion, self.room)? {
+        let portion = if self.restarted_writes < MAX_RESTARTED_WRITES { PORTION_BYTES } else { u64::MAX };
+        match writing.portion(node.set(), portion, self.max_bytes)? {
             Portion::More => {
                 self.writing = Some(writing);
-                self.due = now + BETWEEN_PORTIONS;
+                self.due = now + PORTION_INTERVAL;
             }
-            Portion::GivenUp => {
-                self.given_up += 1;
-                self.due = now + SOON;
+            Portion::SetChanged => {
+                self.restarted_writes += 1;
+                self.due = now + CHANGE_WRITE_DELAY;
             }
             Portion::Last => {
                 std::fs::rename(&unfinished, &self.path)?;
-                kept::write(&self.folder.join(NAME_VERSION), &node.set().version())?;
-                (self.given_up, self.due, self.begin_from) = (0, Micros::MAX, now + EVERY);
+                state_file::write(&self.folder.join(NAME_VERSION), &node.set().version())?;
+                (self.restarted_writes, self.due, self.not_before) =
+                    (0, Micros::MAX, now + MIN_WRITE_INTERVAL);
             }
         }
         Ok(())
     }
 }
 
-/// What became of a portion.
+/// The result of writing a portion.
 enum Portion {
-    /// It is written, and more are to come.
+    /// It is written, and more follow.
     More,
     /// It is written, and was the last one.
     Last,
-    /// The set has changed, so that the file is to be begun anew.
-    GivenUp,
+    /// The set has changed, so the file has to be started again.
+    SetChanged,
 }
 
 /// A file that is being written.
@@ -221,30 +226,32 @@
 }
 
 impl Writing {
-    /// Begins a file of the set that is in force; none while no signed change vouches for it.
+    /// Starts a file of the set in force. `None` while no signed change for that version is known.
     fn begin(path: &Path, node: &Node) -> Result<Option<Self>, SetFileError> {
         let Some(newest) = node.newest() else { return Ok(None) };
         let change = newest.encode();
-        let head = [&(change.len() as u32).to_le_bytes()[..], &change].concat();
+        let header = [&(change.len() as u32).to_le_bytes()[..], &change].concat();
         let mut file = File::create(path)?;
-        file.write_all(&head)?;
-        Ok(Some(Writing { file, encoder: Encoder::new(node.set()), written: head.len() as u64 }))
+        file.write_all(&header)?;
+        Ok(Some(Writing { file, encoder: Encoder::new(node.set()), written: header.len() as u64 }))
     }
 
-    /// Writes some `most` bytes. The whole file is bounded by `room`.
-    fn portion(&mut self, set: &DestinationSet, most: u64, room: u64) -> Result<Portion, SetFileError> {
+    /// Writes a portion of about `max_portion` bytes. The whole file may take `max_bytes`.
+    fn portion(
+        &mut self, set: &DestinationSet, max_portion: u64, max_bytes: u64,
+    ) -> Result<Portion, SetFileError> {
         let mut bytes = Vec::new();
-        while (bytes.len() as u64) < most {
+        while (bytes.len() as u64) < max_portion {
             match self.encoder.next_piece(set) {
                 Ok(Some(piece)) => bytes.extend_from_slice(&piece),
                 Ok(None) => {
                     self.file.write_all(&bytes)?;
                     return Ok(Portion::Last);
                 }
-                Err(SetChanged) => return Ok(Portion::GivenUp),
+                Err(SetChanged) => return Ok(Portion::SetChanged),
             }
-            if self.written + bytes.len() as u64 > room {
-                return Err(SetFileError::NoRoom(room));
+            if self.written + bytes.len() as u64 > max_bytes {
+                return Err(SetFileError::NoRoom(max_bytes));
             }
         }
         self.written += bytes.len() as u64;
--- a/src/fleet/distribution/status.rs
+++ b/src/fleet/distribution/status.rs
@@ -1,10 +1,10 @@
-//! What an operator is shown of the destination set on a relay.
+//! The state of the destination set on a relay, as JSON for operators.
 
 use rollout::{Disagreement, Kind, Micros, Node, Peer, Progress, SECOND, Upstream};
 use serde_json::{Map, Value, json};
 
-/// The set that is in force, from whom it came, and what was refused. `listed` is how many destinations the runtime has;
-/// those that are not of the set are of the operator's file.
+/// The version in force, its upstreams, and what was refused. `listed` is the number of destinations of the runtime; those
+/// beyond the set are from the operator's file.
 pub(super) fn show(node: &Node, listed: usize, now: Micros) -> Value {
     let status = node.status(now);
     let counts = node.counts();
@@ -29,17 +29,19 @@
     })
 }
 
-/// Subscribers that were refused here, and upstreams that refused this relay, because two lists of machines differ.
+/// Counts of subscribers that this relay refused, and of upstreams that refused it, because their lists of machines differ.
 fn misplaced(node: &Node) -> Value {
-    let found = |of: fn(&Disagreement) -> Option<Peer>| -> Map<String, Value> {
-        let found = node.disagreements().iter();
-        found.filter_map(|(found, count)| Some((of(found)?.to_string(), json!(count)))).collect()
+    let count_by_peer = |of: fn(&Disagreement) -> Option<Peer>| -> Map<String, Value> {
+        let disagreements = node.disagreements().iter();
+        disagreements
+            .filter_map(|(disagreement, count)| Some((of(disagreement)?.to_string(), json!(count))))
+            .collect()
     };
-    let subscribers = found(|found| match found {
+    let subscribers = count_by_peer(|disagreement| match disagreement {
         Disagreement::Subscriber(peer) => Some(*peer),
         Disagreement::Upstream(_) => None,
     });
-    let upstreams = found(|found| match found {
+    let upstreams = count_by_peer(|disagreement| match disagreement {
         Disagreement::Upstream(peer) => Some(*peer),
         Disagreement::Subscriber(_) => None,
     });
