--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,27 +1,28 @@
-//! The relay in its fleet, on sockets: one socket for the link between relays, with permits of stewards, facts of peers,
-//! turns and the distribution of the destination set on it, a snapshot of facts and files of turns and of the set beside
-//! the journal, and a control socket that shows all of it. Owns these sockets and files. It must never make a message
-//! wait; what stewards and peers say reaches the module as events, and what it means is the module's to decide.
+//! A relay's part in its fleet, with its I/O: the socket of the peer link, whose channels share limits, retry budgets,
+//! observations, maintenance slots and the destination set; state files beside the journal; and the control socket.
+//!
+//! Invariant: nothing here makes a message wait. What coordinators and other relays report reaches the rules as inputs, and
+//! the rules alone decide what follows.
 
 mod control;
-mod cuts;
+mod cutoffs;
 mod distribution;
-mod kept;
+mod maintenance;
 mod show;
 mod snapshot;
-mod told;
-mod turning;
+mod state_file;
+mod updates;
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::Duration;
 
+use ::fleet::datagram::DatagramError;
 use ::fleet::keys::Keys;
-use ::fleet::link::{self, Channel, Link};
-use ::fleet::note::NoteError;
+use ::fleet::link::{self, Channel, PeerLink};
 use ::fleet::{Peer, incarnation};
-use peers::node::Node as Facts;
+use peers::node::Node as ObservationNode;
 use peers::witness::Witness;
 use permits::steward::Cold;
 use permits::{Sharing, earlier, node as permit};
@@ -39,110 +40,112 @@
 use crate::retry::until_works;
 use crate::standing::Standing;
 
-use control::{ASKED, Asked, accept, listen, serve};
-use cuts::Cuts;
+use control::{Command, MAX_PENDING_COMMANDS, accept, listen, serve};
+use cutoffs::Cutoffs;
 use distribution::Distribution;
-pub use distribution::{Before, DistributionSetup};
+pub use distribution::{DistributionSetup, InitialEndpoints};
+use maintenance::Maintenance;
+pub use maintenance::MaintenanceSetup;
 use snapshot::Snapshot;
-use told::hearsay;
-pub use told::{ToFleet, ended};
-use turning::Turning;
-pub use turning::TurnsSetup;
+use updates::report_of;
+pub use updates::{FleetUpdate, call_ended};
 
-/// Facts of its own and of others each that are known at the most.
-const MOST_FACTS: usize = 4096;
-/// Things told by the runtime that are read between two looks at what is due.
-const BATCH: usize = 64;
-/// Where messages of any worth have to wait for so long at a steward, no relay goes out for work.
-const STRAIN: Micros = 1_000_000;
-/// Pause after an error of a socket that is read or accepted from.
-const AFTER_ERROR: Duration = Duration::from_millis(5);
-/// How a relay is set up in its fleet.
+/// Maximum number of known observations, of this relay's own and of others' each.
+const MAX_OBSERVATIONS: usize = 4096;
+/// Maximum number of the runtime's updates that are processed before due work is checked again.
+const UPDATE_BATCH: usize = 64;
+/// No relay begins maintenance while messages of any priority wait this long at a limit coordinator, in microseconds.
+const STRAIN_WAIT_US: Micros = 1_000_000;
+/// Pause after an error while receiving or accepting on a socket.
+const SOCKET_ERROR_PAUSE: Duration = Duration::from_millis(5);
+
+/// Configuration of a relay's part in its fleet.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Its number.
+    /// This relay's number.
     pub me: Peer,
-    /// Where notes come.
+    /// Address of this relay's peer link.
     pub listen: SocketAddr,
-    /// Where each relay hears notes, by number.
+    /// Address of each relay's peer link, by the relay's number.
     pub all: Vec<SocketAddr>,
-    /// By which notes are signed.
+    /// Keys that authenticate datagrams.
     pub keys: Keys,
-    /// Bytes that it sends in a second at the most, permits aside.
+    /// Limit for all channels with a budget together, in bytes per second.
     pub bytes_per_s: u32,
-    /// How limits are shared, where they are.
+    /// How limits are shared between relays, if they are.
     pub permits: Option<Sharing>,
-    /// Relays share one budget for repeats.
+    /// Whether relays share one retry budget.
     pub repeats: bool,
-    /// Its part among peers that tell each other what they see.
-    pub facts: Option<FactsSetup>,
-    /// Its part among relays that take turns out for work.
-    pub turns: Option<TurnsSetup>,
-    /// Its part in the distribution of the destination set by control machines.
+    /// Exchange of observations with other relays, if enabled.
+    pub observations: Option<ObservationSetup>,
+    /// Coordination of maintenance, if enabled.
+    pub turns: Option<MaintenanceSetup>,
+    /// Distribution of the destination set by control machines, if enabled.
     pub distribution: Option<DistributionSetup>,
-    /// Where it answers an operator.
+    /// Path of the control socket.
     pub control: Option<PathBuf>,
 }
 
 impl Setup {
-    /// The numbers of all that notes come from: relays, then control machines.
+    /// The numbers of all senders of datagrams: relays, then control machines.
     fn peers(&self) -> Vec<Peer> {
         let controls = self.distribution.as_ref().map_or(0, |distribution| count(&distribution.controls));
         (0..count(&self.all).saturating_add(controls)).collect()
     }
 
-    /// Where a relay or a control machine hears notes.
+    /// Address of the peer link of a relay or a control machine.
     fn address(&self, peer: Peer) -> Option<&SocketAddr> {
         let controls = self.distribution.iter().flat_map(|distribution| &distribution.controls);
         self.all.iter().chain(controls).nth(usize::from(peer))
     }
 }
 
-/// How a relay shares facts.
+/// Configuration of the exchange of observations.
 #[derive(Clone, Debug)]
-pub struct FactsSetup {
-    /// It asks at its start, and reads its snapshot.
+pub struct ObservationSetup {
+    /// Whether the relay reads its snapshot at the start, and asks other relays for their observations.
     pub warm: bool,
 }
 
-/// What a relay's link, channels and files are.
-struct Shell {
+/// The task that runs a relay's link, channels and files.
+struct FleetTask {
     clock: Clock,
     setup: Setup,
-    link: Link,
+    link: PeerLink,
     permits: Option<permit::Node>,
     repeats: Option<repeat::Node>,
-    facts: Option<(Facts, Witness, Snapshot)>,
-    turning: Option<Turning>,
+    observations: Option<(ObservationNode, Witness, Snapshot)>,
+    maintenance: Option<Maintenance>,
     distribution: Option<Distribution>,
-    cuts: Cuts,
+    cutoffs: Cutoffs,
     inputs: mpsc::Sender<Input>,
-    replaced: watch::Receiver<Vec<SocketAddr>>,
+    relay_lists: watch::Receiver<Vec<SocketAddr>>,
     socket: UdpSocket,
 }
 
-/// A relay's part in its fleet that has started.
-pub struct Started {
-    /// Takes what the runtime tells.
-    pub tell: mpsc::UnboundedSender<ToFleet>,
-    /// What an earlier process of this relay kept of what was said, for before it takes on again what is owed.
-    pub said: Vec<Hearsay>,
-    /// The endpoints of the destination set as an earlier process kept it, in place of the configured ones.
+/// A relay's running part in its fleet.
+pub struct FleetHandle {
+    /// Updates from the runtime.
+    pub updates: mpsc::UnboundedSender<FleetUpdate>,
+    /// Reports restored from the snapshot of an earlier process, to be applied before the runtime resumes its messages.
+    pub restored_reports: Vec<Hearsay>,
+    /// The endpoints of the persisted destination set, in place of the configured ones.
     pub endpoints: Option<Vec<Member>>,
-    /// Has the sockets, and lets go of them when it is aborted.
+    /// Owns the sockets, and closes them when it is aborted.
     pub task: JoinHandle<()>,
 }
 
-/// Starts the relay's part in its fleet; what others say goes into `inputs`. The snapshot of facts in the state folder takes
-/// at most `room` bytes. `before` are the endpoints that the runtime starts with. Another list of relays comes by `replaced`.
+/// Starts the relay's part in its fleet. Reports of other relays are sent to `inputs`. The snapshot of observations in the
+/// state folder takes at most `room` bytes. `before` are the endpoints that the runtime starts with. A new list of relays
+/// is received on `replaced`.
 ///
 /// # Errors
-/// Where a socket is not to be had.
+/// If a socket cannot be opened.
 pub async fn start(
     setup: &Setup, rules: &RuleFigures, (state, room): (&Path, u64), (clock, seed): (Clock, u64),
-    (inputs, replaced): (mpsc::Sender<Input>, watch::Receiver<Vec<SocketAddr>>),
-    (standing, leave): (Arc<Standing>, Arc<Notify>), before: Before<'_>,
-) -> std::io::Result<Started> {
+    (inputs, relay_lists): (mpsc::Sender<Input>, watch::Receiver<Vec<SocketAddr>>),
+    (standing, leave): (Arc<Standing>, Arc<Notify>), before: InitialEndpoints<'_>,
+) -> std::io::Result<FleetHandle> {
     let now = clock.now();
     let start = incarnation(now);
     let config = link::Config {
@@ -151,8 +154,8 @@
         peers: setup.peers(),
         keys: setup.keys.clone(),
         bytes_per_s: setup.bytes_per_s,
-        // Permits tell who is there by themselves; only facts need to know more.
-        asks: setup.facts.is_some(),
+        // The permits channel detects dead relays by itself; only observations need the pings.
+        pings_silent_peers: setup.observations.is_some(),
     };
     let bind = async || {
         let socket = UdpSocket::bind(setup.listen).await?;
@@ -160,12 +163,12 @@
         Ok::<_, std::io::Error>((socket, bound))
     };
     let (socket, bound) = until_works("notes", &standing, bind).await?;
-    info!("notes between relays on {bound}");
+    info!("listening for datagrams of other relays on {bound}");
     let control = match setup.control.as_deref() {
         Some(path) => Some(until_works("control socket", &standing, async || listen(path)).await?),
         None => None,
     };
-    let link = Link::new(config, now);
+    let link = PeerLink::new(config, now);
     let relays = count(&setup.all);
     let permits = setup.permits.map(|sharing| {
         let cold = Cold { from: rules.cold_from, warm_after: rules.cold };
@@ -181,161 +184,167 @@
     });
     let config = repeat::Config { me: setup.me, relays, incarnation: start };
     let repeats = setup.repeats.then(|| repeat::Node::new(config, now));
-    let mut kept = Vec::new();
-    let facts = setup.facts.as_ref().map(|how| {
-        let config = peers::node::Config { me: setup.me, most_facts: MOST_FACTS, seed, asks: how.warm };
-        let mut facts = Facts::new(config, now);
+    let mut restored_reports = Vec::new();
+    let observations = setup.observations.as_ref().map(|how| {
+        let config = peers::node::Config { me: setup.me, most_facts: MAX_OBSERVATIONS, seed, asks: how.warm };
+        let mut observations = ObservationNode::new(config, now);
         let snapshot = Snapshot::new(state, room, now);
         if how.warm {
-            snapshot.read().into_iter().for_each(|fact| facts.restore(now, link.members(), fact));
+            snapshot.read().into_iter().for_each(|fact| observations.restore(now, link.members(), fact));
         }
-        kept = facts.ledger().acted_on(now).filter_map(|fact| hearsay(&fact)).collect();
-        (facts, Witness::default(), snapshot)
+        restored_reports = observations.ledger().acted_on(now).filter_map(|fact| report_of(&fact)).collect();
+        (observations, Witness::default(), snapshot)
     });
-    let turning = setup
+    let maintenance = setup
         .turns
         .clone()
-        .map(|turns| Turning::new(turns, (setup.me, relays, start), state, now, standing, leave));
+        .map(|turns| Maintenance::new(turns, (setup.me, relays, start), state, now, standing, leave));
     let distribution =
         setup.distribution.as_ref().map(|how| Distribution::start(how, (setup.me, seed), state, before, now));
     let (distribution, endpoints) = distribution.unzip();
-    let (tell, told) = mpsc::unbounded_channel();
-    let shell = Shell {
+    let (updates, update_receiver) = mpsc::unbounded_channel();
+    let fleet_task = FleetTask {
         clock,
         setup: setup.clone(),
         link,
         permits,
         repeats,
-        facts,
-        turning,
+        observations,
+        maintenance,
         distribution,
-        cuts: Cuts::default(),
+        cutoffs: Cutoffs::default(),
         inputs,
-        replaced,
+        relay_lists,
         socket,
     };
-    let task = tokio::spawn(shell.run(told, control));
-    Ok(Started { tell, said: kept, endpoints: endpoints.flatten(), task })
+    let task = tokio::spawn(fleet_task.run(update_receiver, control));
+    Ok(FleetHandle { updates, restored_reports, endpoints: endpoints.flatten(), task })
 }
 
 fn count(all: &[SocketAddr]) -> Peer {
     Peer::try_from(all.len()).unwrap_or(Peer::MAX)
 }
 
-/// The channels that there are, the most urgent first.
+/// The enabled channels, the most urgent first.
 fn channels<'a>(
     permits: &'a mut Option<permit::Node>, repeats: &'a mut Option<repeat::Node>,
-    facts: &'a mut Option<(Facts, Witness, Snapshot)>, turning: &'a mut Option<Turning>,
-    distribution: &'a mut Option<Distribution>,
+    observations: &'a mut Option<(ObservationNode, Witness, Snapshot)>,
+    maintenance: &'a mut Option<Maintenance>, distribution: &'a mut Option<Distribution>,
 ) -> Vec<&'a mut dyn Channel> {
     let permits = permits.iter_mut().map(|permits| permits as &mut dyn Channel);
     let repeats = repeats.iter_mut().map(|repeats| repeats as &mut dyn Channel);
-    let turns = turning.iter_mut().map(|turning| &mut turning.node as &mut dyn Channel);
+    let maintenance = maintenance.iter_mut().map(|maintenance| &mut maintenance.node as &mut dyn Channel);
     let distribution = distribution.iter_mut().map(|part| &mut part.node as &mut dyn Channel);
-    let facts = facts.iter_mut().map(|(facts, ..)| facts as &mut dyn Channel);
-    permits.chain(repeats).chain(turns).chain(distribution).chain(facts).collect()
+    let observations = observations.iter_mut().map(|(observations, ..)| observations as &mut dyn Channel);
+    permits.chain(repeats).chain(maintenance).chain(distribution).chain(observations).collect()
 }
 
-impl Shell {
-    async fn run(mut self, mut told: mpsc::UnboundedReceiver<ToFleet>, control: Option<UnixListener>) {
+impl FleetTask {
+    async fn run(
+        mut self, mut update_receiver: mpsc::UnboundedReceiver<FleetUpdate>, control: Option<UnixListener>,
+    ) {
         let mut buffer = [0; 512];
-        let mut batch = Vec::with_capacity(BATCH);
-        let (ask, mut asked) = mpsc::channel::<Asked>(ASKED);
+        let mut batch = Vec::with_capacity(UPDATE_BATCH);
+        let (commands_tx, mut commands) = mpsc::channel::<Command>(MAX_PENDING_COMMANDS);
         loop {
             let now = self.clock.now();
-            if let Some(turning) = &mut self.turning
-                && turning.looks_for_strain(now)
+            if let Some(maintenance) = &mut self.maintenance
+                && maintenance.strain_check_due(now)
             {
-                turning.strain(now, self.permits.as_ref().and_then(|permits| permits.strained(now, STRAIN)));
+                maintenance.set_strained(
+                    now,
+                    self.permits.as_ref().and_then(|permits| permits.strained(now, STRAIN_WAIT_US)),
+                );
             }
-            let look = self.turning.as_mut().map_or(Micros::MAX, |turning| turning.look(now));
-            self.say().await;
+            let maintenance_due =
+                self.maintenance.as_mut().map_or(Micros::MAX, |maintenance| maintenance.run(now));
+            self.send_due().await;
             let now = self.clock.now();
             let mut next = self.link.next_at(
                 now,
                 &channels(
                     &mut self.permits,
                     &mut self.repeats,
-                    &mut self.facts,
-                    &mut self.turning,
+                    &mut self.observations,
+                    &mut self.maintenance,
                     &mut self.distribution,
                 ),
             );
-            if let Some((facts, _, snapshot)) = &mut self.facts {
-                snapshot.keep_if_due(now, facts.ledger());
+            if let Some((observations, _, snapshot)) = &mut self.observations {
+                snapshot.write_if_due(now, observations.ledger());
                 next = next.min(snapshot.due());
             }
             if let Some(distribution) = &mut self.distribution {
-                distribution.keep(now);
+                distribution.write_portion(now);
                 next = next.min(distribution.due());
             }
-            next = next.min(look);
+            next = next.min(maintenance_due);
             if let Some(permits) = &self.permits {
-                if self.cuts.due(now) {
-                    self.cuts.look(&permits.queues(now));
+                if self.cutoffs.due(now) {
+                    self.cutoffs.log_changes(&permits.queues(now));
                 }
-                next = next.min(self.cuts.next());
+                next = next.min(self.cutoffs.next_due());
             }
             tokio::select! {
-                n = told.recv_many(&mut batch, BATCH) => {
+                n = update_receiver.recv_many(&mut batch, UPDATE_BATCH) => {
                     if n == 0 {
                         return;
                     }
                     let now = self.clock.now();
-                    batch.drain(..).for_each(|said| self.told(now, said));
+                    batch.drain(..).for_each(|update| self.apply_update(now, update));
                 }
-                came = self.socket.recv_from(&mut buffer) => {
-                    let Ok((n, from)) = came else {
-                        // Guards against a spin while the socket fails.
-                        tokio::time::sleep(AFTER_ERROR).await;
+                received = self.socket.recv_from(&mut buffer) => {
+                    let Ok((n, from)) = received else {
+                        // Avoids a busy loop while the socket fails.
+                        tokio::time::sleep(SOCKET_ERROR_PAUSE).await;
                         continue;
                     };
-                    if let Err(error) = self.hear(buffer.get(..n).unwrap_or_default()) {
-                        debug!("note of {n} bytes from {from}: {error}");
+                    if let Err(error) = self.receive(buffer.get(..n).unwrap_or_default()) {
+                        debug!("datagram of {n} bytes from {from}: {error}");
                     }
                 }
-                Ok(()) = self.replaced.changed() => self.replace(),
-                came = accept(control.as_ref()) => {
-                    match came {
-                        Ok(stream) => drop(tokio::spawn(serve(stream, ask.clone()))),
-                        Err(_) => tokio::time::sleep(AFTER_ERROR).await,
+                Ok(()) = self.relay_lists.changed() => self.replace(),
+                accepted = accept(control.as_ref()) => {
+                    match accepted {
+                        Ok(stream) => drop(tokio::spawn(serve(stream, commands_tx.clone()))),
+                        Err(_) => tokio::time::sleep(SOCKET_ERROR_PAUSE).await,
                     }
                 }
-                Some((line, answer)) = asked.recv() => drop(answer.send(self.asked(&line))),
+                Some((line, answer)) = commands.recv() => drop(answer.send(self.handle_command(&line))),
                 () = tokio::time::sleep_until(self.clock.instant(next)) => {}
             }
         }
     }
 
-    /// Sends what is due, and hands on what stewards said.
-    async fn say(&mut self) {
+    /// Sends due datagrams, and passes grants and retry tokens on to the runtime.
+    async fn send_due(&mut self) {
         let now = self.clock.now();
         let mut out = self.link.poll(
             now,
             &mut channels(
                 &mut self.permits,
                 &mut self.repeats,
-                &mut self.facts,
-                &mut self.turning,
+                &mut self.observations,
+                &mut self.maintenance,
                 &mut self.distribution,
             ),
         );
         if let Some(permits) = &mut self.permits {
             out.extend(permits.say_earlier(self.link.keys()));
-            for given in permits.take_given() {
-                // A relay that is behind with its work hears less; its own pace holds then.
-                let _ = self.inputs.try_send(Input::Permitted(given));
+            for grants in permits.take_given() {
+                // While the runtime's queue is full grants are dropped, and the relay falls back to its own pace.
+                let _ = self.inputs.try_send(Input::Permitted(grants));
             }
             for (destination, waits) in permits.take_waits() {
                 let _ = self.inputs.try_send(Input::Waits(destination, waits));
             }
         }
-        for handed in self.repeats.iter_mut().flat_map(repeat::Node::take_handed).collect::<Vec<_>>() {
-            // What the relay is behind with is handed over later: nobody else has it.
-            if let (Err(TrySendError::Full(Input::Repeats(handed))), Some(repeats)) =
-                (self.inputs.try_send(Input::Repeats(handed)), &mut self.repeats)
+        for tokens in self.repeats.iter_mut().flat_map(repeat::Node::take_handed).collect::<Vec<_>>() {
+            // Tokens are returned to be offered again, as no other relay holds them.
+            if let (Err(TrySendError::Full(Input::Repeats(tokens))), Some(repeats)) =
+                (self.inputs.try_send(Input::Repeats(tokens)), &mut self.repeats)
             {
-                repeats.not_taken(handed);
+                repeats.not_taken(tokens);
             }
         }
         if let Some(distribution) = &mut self.distribution {
@@ -343,38 +352,38 @@
         }
         for out in out {
             if let Some(to) = self.setup.address(out.to) {
-                // A note may be lost in any case.
+                // Errors are ignored, as a datagram may be lost in any case.
                 let _ = self.socket.send_to(&out.bytes, to).await;
             }
         }
     }
 
-    fn told(&mut self, now: Micros, said: ToFleet) {
-        match said {
-            ToFleet::Listed(listed) => {
+    fn apply_update(&mut self, now: Micros, update: FleetUpdate) {
+        match update {
+            FleetUpdate::Listed(listed) => {
                 for (destination, rate) in listed {
                     self.permits.iter_mut().for_each(|permits| permits.listed(destination, rate));
                     self.repeats.iter_mut().for_each(|repeats| repeats.listed(now, destination, rate));
                 }
             }
-            ToFleet::Want(destination, tiers) => {
+            FleetUpdate::RequestGrants(destination, tiers) => {
                 self.permits.iter_mut().for_each(|permits| permits.want(now, destination, tiers.clone()));
             }
-            ToFleet::First(destination) => {
+            FleetUpdate::FirstAttempt(destination) => {
                 self.repeats.iter_mut().for_each(|repeats| repeats.first(now, destination));
             }
-            ToFleet::WantRepeats(destination, tiers) => {
+            FleetUpdate::RequestRetryTokens(destination, tiers) => {
                 self.repeats.iter_mut().for_each(|repeats| repeats.want(now, destination, tiers.clone()));
             }
-            ToFleet::Ended { destination, report, seen } => {
+            FleetUpdate::CallEnded { destination, report, seen } => {
                 if let (Some(permits), Some(report)) = (&mut self.permits, report) {
                     permits.report(now, destination, &report);
                 }
-                if let Some((facts, witness, snapshot)) = &mut self.facts {
+                if let Some((observations, witness, snapshot)) = &mut self.observations {
                     let (known, traffic) = witness.saw(&seen);
                     for known in known {
-                        if facts.observe(seen.ended, destination, known, traffic) {
-                            snapshot.soon(seen.ended);
+                        if observations.observe(seen.ended, destination, known, traffic) {
+                            snapshot.write_soon(seen.ended);
                         }
                     }
                 }
@@ -382,43 +391,43 @@
         }
     }
 
-    fn hear(&mut self, bytes: &[u8]) -> Result<(), NoteError> {
+    fn receive(&mut self, bytes: &[u8]) -> Result<(), DatagramError> {
         let now = self.clock.now();
-        let taken = self.link.receive(
+        let result = self.link.receive(
             now,
             bytes,
             &mut channels(
                 &mut self.permits,
                 &mut self.repeats,
-                &mut self.facts,
-                &mut self.turning,
+                &mut self.observations,
+                &mut self.maintenance,
                 &mut self.distribution,
             ),
         );
-        if let (Err(NoteError::Version(earlier::VERSION)), Some(permits)) = (taken, &mut self.permits) {
+        if let (Err(DatagramError::Version(earlier::VERSION)), Some(permits)) = (result, &mut self.permits) {
             return permits.hear_earlier(now, bytes, self.link.keys());
         }
-        if let Some((facts, _, snapshot)) = &mut self.facts {
-            let news = facts.take_news();
-            if news.iter().any(|fact| fact.known.differs(now) >= 1.0) {
-                snapshot.soon(now);
+        if let Some((observations, _, snapshot)) = &mut self.observations {
+            let received = observations.take_news();
+            if received.iter().any(|fact| fact.known.differs(now) >= 1.0) {
+                snapshot.write_soon(now);
             }
-            let heeded = news.iter().filter_map(|fact| facts.ledger().heeded(now, fact));
-            for hearsay in heeded.filter_map(|fact| hearsay(&fact)) {
-                // A relay that is behind with its work hears less of others.
-                let _ = self.inputs.try_send(Input::Told(hearsay));
+            let effective = received.iter().filter_map(|fact| observations.ledger().heeded(now, fact));
+            for report_of in effective.filter_map(|fact| report_of(&fact)) {
+                // While the runtime's queue is full reports are dropped.
+                let _ = self.inputs.try_send(Input::Told(report_of));
             }
         }
-        taken
+        result
     }
 
-    /// Takes on another list of relays.
+    /// Applies a new list of relays.
     fn replace(&mut self) {
-        let all = self.replaced.borrow_and_update().clone();
+        let all = self.relay_lists.borrow_and_update().clone();
         if self.distribution.is_some() && all.len() != self.setup.all.len() {
-            // The numbers of control machines follow those of relays, and each relay has its place in the file.
+            // The numbers of control machines follow those of relays, and [configuration] gives each a place in the topology.
             return warn!(
-                "another number of relays needs a restart, as [configuration] gives each its place"
+                "another number of relays needs a restart, as [configuration] gives each relay its place"
             );
         }
         self.setup.all = all;
@@ -426,19 +435,23 @@
         self.link.replace(self.setup.peers());
         self.permits.iter_mut().for_each(|permits| permits.replaced(relays));
         self.repeats.iter_mut().for_each(|repeats| repeats.replaced(relays));
-        if let Some((facts, ..)) = &mut self.facts {
-            facts.replaced(self.link.members());
+        if let Some((observations, ..)) = &mut self.observations {
+            observations.replaced(self.link.members());
         }
-        self.turning.iter_mut().for_each(|turning| turning.replaced(relays));
-        info!("{} relays in all", self.setup.all.len());
+        self.maintenance.iter_mut().for_each(|maintenance| maintenance.set_relay_count(relays));
+        info!("the fleet has {} relays", self.setup.all.len());
     }
 
-    /// An operator's line: an order to the fleet's turns as a JSON object, else all that there is to show.
-    fn asked(&mut self, line: &str) -> Value {
+    /// Handles a line from the control socket: a maintenance command as a JSON object, or any other line to show the state.
+    fn handle_command(&mut self, line: &str) -> Value {
         let now = self.clock.now();
-        match (serde_json::from_str::<Value>(line), &mut self.turning) {
-            (Ok(order), Some(turning)) if order.is_object() => turning.asked(now, &order),
-            (Ok(order), None) if order.is_object() => json!({"error": "this relay takes no turns"}),
+        match (serde_json::from_str::<Value>(line), &mut self.maintenance) {
+            (Ok(command), Some(maintenance)) if command.is_object() => {
+                maintenance.handle_command(now, &command)
+            }
+            (Ok(command), None) if command.is_object() => {
+                json!({"error": "maintenance is not enabled on this relay"})
+            }
             _ => show::show(self),
         }
     }
--- a/src/fleet/show.rs
+++ b/src/fleet/show.rs
@@ -1,64 +1,65 @@
-//! What a relay shows an operator of its fleet, as JSON.
+//! The state of a relay's part in its fleet, as JSON for operators.
 
 use ::fleet::Peer;
 use ::fleet::members::Member;
 use peers::fact::Fact;
-use peers::node::Node as Facts;
+use peers::node::Node as ObservationNode;
 use permits::node as permit;
 use repeats::node as repeat;
 use serde_json::{Map, Value, json};
 
-use super::{Shell, cuts};
+use super::{FleetTask, cutoffs};
 use crate::interface::Micros;
 
-/// All that an operator may ask for.
-pub(super) fn show(shell: &Shell) -> Value {
-    let now = shell.clock.now();
-    let facts = shell.facts.as_ref().map(|(facts, ..)| facts);
-    let members = shell.link.members().all();
-    let peers: Vec<Value> = members.map(|(peer, member)| show_peer(now, peer, &member, facts)).collect();
-    let known = facts.into_iter().flat_map(|facts| facts.ledger().all(now));
-    let known: Vec<Value> = known.map(|known| show_fact(now, &known)).collect();
-    let permits = shell.permits.iter();
+/// The whole state.
+pub(super) fn show(task: &FleetTask) -> Value {
+    let now = task.clock.now();
+    let observations = task.observations.as_ref().map(|(observations, ..)| observations);
+    let members = task.link.members().all();
+    let peers: Vec<Value> =
+        members.map(|(peer, member)| show_peer(now, peer, &member, observations)).collect();
+    let listed = observations.into_iter().flat_map(|observations| observations.ledger().all(now));
+    let listed: Vec<Value> = listed.map(|observation| show_observation(now, &observation)).collect();
+    let permits = task.permits.iter();
     let shares: Vec<Value> =
         permits.clone().flat_map(|permits| permits.shares(now)).map(show_share).collect();
     let queues = permits.flat_map(|permits| permits.queues(now));
-    let queues: Vec<Value> = queues.map(|queue| cuts::show(&queue)).collect();
-    let budgets = shell.repeats.iter().flat_map(|repeats| repeats.budgets(now));
+    let queues: Vec<Value> = queues.map(|queue| cutoffs::show(&queue)).collect();
+    let budgets = task.repeats.iter().flat_map(|repeats| repeats.budgets(now));
     let budgets: Vec<Value> = budgets.map(show_budget).collect();
-    let counts = shell.link.counts();
+    let counts = task.link.counts();
     let ignored: Map<String, Value> =
         counts.ignored.iter().map(|(why, count)| (why.to_string(), json!(count))).collect();
     json!({
         "peers": peers,
-        "facts": known,
+        "facts": listed,
         "shares": shares,
         "overload": queues,
         "repeats": budgets,
-        "turns": shell.turning.as_ref().map(|turning| turning.show(now)),
-        "configuration": shell.distribution.as_ref().map(|distribution| distribution.show(now)),
+        "turns": task.maintenance.as_ref().map(|maintenance| maintenance.show(now)),
+        "configuration": task.distribution.as_ref().map(|distribution| distribution.show(now)),
         "sent": counts.sent,
         "bytes": counts.bytes,
-        "taken": counts.taken,
+        "taken": counts.accepted,
         "ignored": ignored,
         "skipped": counts.skipped,
-        "news": facts.map_or(0, Facts::news_count),
+        "news": observations.map_or(0, ObservationNode::news_count),
     })
 }
 
-fn seconds_ago(now: Micros, at: Micros) -> f64 {
+fn seconds_since(now: Micros, at: Micros) -> f64 {
     (now - at) as f64 / 1e6
 }
 
-fn show_peer(now: Micros, peer: Peer, member: &Member, facts: Option<&Facts>) -> Value {
-    json!({"peer": peer, "standing": format!("{:?}", member.standing).to_lowercase(),
-        "incarnation": member.incarnation, "heard_s_ago": member.heard.map(|at| seconds_ago(now, at)),
-        "trust": facts.map(|facts| facts.ledger().trust.of(peer))})
+fn show_peer(now: Micros, peer: Peer, member: &Member, observations: Option<&ObservationNode>) -> Value {
+    json!({"peer": peer, "standing": format!("{:?}", member.state).to_lowercase(),
+        "incarnation": member.incarnation, "heard_s_ago": member.last_heard.map(|at| seconds_since(now, at)),
+        "trust": observations.map(|observations| observations.ledger().trust.of(peer))})
 }
 
-fn show_fact(now: Micros, (fact, weight): &(Fact, f64)) -> Value {
-    json!({"destination": fact.destination, "known": fact.known, "seen_s_ago": seconds_ago(now, fact.at),
-        "by": fact.source, "hops": fact.hops, "weight": weight})
+fn show_observation(now: Micros, (observation, weight): &(Fact, f64)) -> Value {
+    json!({"destination": observation.destination, "known": observation.known, "seen_s_ago": seconds_since(now, observation.at),
+        "by": observation.source, "hops": observation.hops, "weight": weight})
 }
 
 fn show_share(share: permit::Share) -> Value {
--- a/src/fleet/snapshot.rs
+++ b/src/fleet/snapshot.rs
@@ -1,60 +1,62 @@
-//! What is believed, kept beside the journal for the next start. Owns that file. It must never take more than its room,
-//! nor leave half a file.
+//! The snapshot of observations, a file beside the journal from which the next start restores them.
+//!
+//! Invariants: the file never exceeds its size limit, and an interrupted write leaves the old file.
 
 use std::path::{Path, PathBuf};
 
 use peers::fact::Fact;
 use peers::ledger::Ledger;
 
-use super::kept;
+use super::state_file;
 use crate::interface::Micros;
 
-/// It is written so often, and so soon after a trouble that began or ended, or news of one.
-const EVERY: Micros = 2_000_000;
-const SOON: Micros = 100_000;
-/// What a fact takes at the most, in bytes.
-const FACT_BYTES: u64 = 192;
+/// Interval between snapshots, in microseconds.
+const WRITE_INTERVAL: Micros = 2_000_000;
+/// Delay of the snapshot after a failure began or ended, or a report of that arrived, in microseconds.
+const CHANGE_WRITE_DELAY: Micros = 100_000;
+/// Maximum size of an observation in the file, in bytes.
+const MAX_FACT_BYTES: u64 = 192;
 
-/// The snapshot's file, and when it is written next.
+/// The snapshot's file, and when it is due.
 pub(super) struct Snapshot {
     file: PathBuf,
-    most: usize,
+    max_observations: usize,
     due: Micros,
 }
 
 impl Snapshot {
-    /// The snapshot of a state folder, of at most so many bytes.
+    /// The snapshot in a state folder, of at most `room` bytes.
     pub(super) fn new(state: &Path, room: u64, now: Micros) -> Self {
-        let most = usize::try_from(room / FACT_BYTES).unwrap_or(usize::MAX);
-        Snapshot { file: state.join("facts"), most, due: now + EVERY }
+        let max_observations = usize::try_from(room / MAX_FACT_BYTES).unwrap_or(usize::MAX);
+        Snapshot { file: state.join("facts"), max_observations, due: now + WRITE_INTERVAL }
     }
 
-    /// What an earlier process kept.
+    /// The observations that an earlier process wrote.
     pub(super) fn read(&self) -> Vec<Fact> {
-        kept::read(&self.file)
+        state_file::read(&self.file)
     }
 
-    /// Something turned: it is written soon.
-    pub(super) fn soon(&mut self, now: Micros) {
-        self.due = self.due.min(now + SOON);
+    /// Brings the next snapshot forward after an important change.
+    pub(super) fn write_soon(&mut self, now: Micros) {
+        self.due = self.due.min(now + CHANGE_WRITE_DELAY);
     }
 
-    /// When it is written next.
+    /// When the next snapshot is due.
     pub(super) fn due(&self) -> Micros {
         self.due
     }
 
-    /// Writes what is acted on, if it is time; a kill leaves the old one or the new one.
-    pub(super) fn keep_if_due(&mut self, now: Micros, ledger: &Ledger) {
+    /// Writes the observations that are in effect, if a snapshot is due. The most significant ones are kept if not all fit.
+    pub(super) fn write_if_due(&mut self, now: Micros, ledger: &Ledger) {
         if now < self.due {
             return;
         }
-        self.due = now + EVERY;
-        let worth_it = |fact: &Fact| fact.known.differs(now) >= 1.0;
-        let mut kept: Vec<Fact> = ledger.acted_on(now).filter(worth_it).collect();
-        kept.sort_by(|a, b| b.known.differs(now).total_cmp(&a.known.differs(now)));
-        kept.truncate(self.most);
-        // The next one is written in any case.
-        let _ = kept::write(&self.file, &kept);
+        self.due = now + WRITE_INTERVAL;
+        let significant = |fact: &Fact| fact.known.differs(now) >= 1.0;
+        let mut persisted: Vec<Fact> = ledger.acted_on(now).filter(significant).collect();
+        persisted.sort_by(|a, b| b.known.differs(now).total_cmp(&a.known.differs(now)));
+        persisted.truncate(self.max_observations);
+        // An error is logged by the callee, and the next snapshot is written in any case.
+        let _ = state_file::write(&self.file, &persisted);
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -76,14 +76,14 @@
         command: peers::Show,
     },
     /// Wishes a relay out for work; the fleet settles when
-    Out(turns::Out),
+    Out(turns::DrainArgs),
     /// Brings back a relay that is out, before its process ended
     Back(control::Socket),
     /// Gives up a wish to go out; one that is out already comes back
-    Abort(turns::One),
+    Abort(turns::RelayArgs),
     /// Turns and shared limits of the whole fleet
     #[command(subcommand)]
-    Fleet(turns::Fleet),
+    Fleet(turns::FleetCommand),
     /// Asks and looks after the record of final answers
     #[command(subcommand)]
     Record(Box<record::RecordCommand>),
--- a/src/runtime/actions.rs
+++ b/src/runtime/actions.rs
@@ -4,7 +4,7 @@
 use tracing::debug;
 
 use crate::exchange::OutboundCall;
-use crate::fleet::ToFleet;
+use crate::fleet::FleetUpdate;
 use crate::interface::*;
 use crate::store::{Begun, Record};
 
@@ -34,9 +34,11 @@
             Action::Fail(id) => self.give_up(id, false, None),
             Action::Timer { token, after } => drop(self.timers.insert((now + after, token))),
             Action::Close(target) => self.effects.push(Effect::Close(target)),
-            Action::Want { destination, tiers } => self.tell_fleet(ToFleet::Want(destination.0, tiers)),
+            Action::Want { destination, tiers } => {
+                self.tell_fleet(FleetUpdate::RequestGrants(destination.0, tiers))
+            }
             Action::WantRepeats { destination, tiers } => {
-                self.tell_fleet(ToFleet::WantRepeats(destination.0, tiers));
+                self.tell_fleet(FleetUpdate::RequestRetryTokens(destination.0, tiers));
             }
             // The platform's settings permit no probes, and the list is always watched.
             Action::Probe(_) | Action::Watch => {}
@@ -61,7 +63,7 @@
         });
         // A first attempt earns the fleet's retry budget its share.
         if attempt == 0 && self.settings.repeats {
-            self.tell_fleet(ToFleet::First(exchange.destination));
+            self.tell_fleet(FleetUpdate::FirstAttempt(exchange.destination));
         }
         // The feature records an attempt only after the fact, so that the proofs show that they detect it.
         if !cfg!(feature = "broken-order") {
--- a/src/runtime/destinations.rs
+++ b/src/runtime/destinations.rs
@@ -5,7 +5,7 @@
 use tracing::warn;
 
 use crate::exchange::Member;
-use crate::fleet::ToFleet;
+use crate::fleet::FleetUpdate;
 use crate::interface::*;
 use crate::wire::RawEntry;
 
@@ -61,7 +61,7 @@
     fn tell_rates(&self, entries: &[Entry]) {
         let in_service = entries.iter().filter(|entry| entry.listed == Listed::InService);
         let rates = in_service.map(|entry| (entry.destination.0, entry.rate)).collect();
-        self.tell_fleet(ToFleet::Listed(rates));
+        self.tell_fleet(FleetUpdate::Listed(rates));
     }
 
     /// Removes an endpoint that is gone; endpoints are replaced as long as the process lives. The module sends nothing
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -24,7 +24,7 @@
 
 use crate::classes::Classes;
 use crate::exchange::{Clock, Exchange, Notice, OutboundCall};
-use crate::fleet::ToFleet;
+use crate::fleet::FleetUpdate;
 use crate::handed::{LeftOut, Offer};
 use crate::input::Input;
 use crate::interface::*;
@@ -82,7 +82,7 @@
     held_bytes: usize,
     journal: Journal,
     outbox: Option<Outbox>,
-    fleet: Option<mpsc::UnboundedSender<ToFleet>>,
+    fleet: Option<mpsc::UnboundedSender<FleetUpdate>>,
     caller: Box<dyn Caller>,
     notices: mpsc::UnboundedSender<Notice>,
     standing: Arc<Standing>,
@@ -192,7 +192,7 @@
 
     /// Connects the runtime to its fleet, which is asked for grants and told how calls end.
     #[must_use]
-    pub fn among(mut self, fleet: mpsc::UnboundedSender<ToFleet>) -> Self {
+    pub fn among(mut self, fleet: mpsc::UnboundedSender<FleetUpdate>) -> Self {
         self.fleet = Some(fleet);
         self
     }
@@ -255,7 +255,7 @@
     }
 
     /// Sends a message to the fleet, if there is one. A fleet that has ended is not an error.
-    fn tell_fleet(&self, message: ToFleet) {
+    fn tell_fleet(&self, message: FleetUpdate) {
         if let Some(fleet) = &self.fleet {
             let _ = fleet.send(message);
         }
--- a/src/runtime/outcomes.rs
+++ b/src/runtime/outcomes.rs
@@ -27,7 +27,7 @@
         // The fleet has heard of an answer when it came.
         if let Some(fleet) = self.fleet.as_ref().filter(|_| !std::mem::take(&mut held.answered)) {
             let (destination, times) = (held.exchange.destination, (end.began, now));
-            let _ = fleet.send(fleet::ended(destination, end.outcome, times, &end.report));
+            let _ = fleet.send(fleet::call_ended(destination, end.outcome, times, &end.report));
         }
         let told = held.trace.as_mut().map(|trace| {
             let told = heard(now, end.outcome, end.verdict, end.evidence);
@@ -73,7 +73,7 @@
         held.answered = true;
         let destination = held.exchange.destination;
         let Answered { attempt, target, outcome, began, at, report, .. } = answered;
-        self.tell_fleet(fleet::ended(destination, outcome, (began, at), &report));
+        self.tell_fleet(fleet::call_ended(destination, outcome, (began, at), &report));
         let done =
             Done { id, attempt, target, outcome, took: at - began, verdict: outcome.verdict(), report };
         self.hold_back(&done, self.clock.now());
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -131,7 +131,7 @@
     let on = read(&object, Some("on")).expect("sound");
     let fleet = on.fleet.as_ref().expect("notes");
     assert_eq!((fleet.me, fleet.all.len(), fleet.listen.port()), (0, 1, 7946));
-    assert!(fleet.facts.is_some() && fleet.permits.is_none(), "one relay alone shares no limit");
+    assert!(fleet.observations.is_some() && fleet.permits.is_none(), "one relay alone shares no limit");
     // The snapshot and the one that takes its place are inside the disk.
     assert!(on.journal_room().limit + 2 * on.snapshot_room() <= on.limits.disk);
     assert!(on.journal_room().limit < off.journal_room().limit);
@@ -153,9 +153,9 @@
     };
     let fleet = |notes, permits| read(notes, permits).expect("sound").fleet;
     let both = fleet("on", "on").expect("a fleet");
-    assert!(both.facts.is_some() && both.permits == Some(Sharing::Whole));
+    assert!(both.observations.is_some() && both.permits == Some(Sharing::Whole));
     let alone = fleet("off", "parts").expect("a fleet");
-    assert!(alone.facts.is_none() && alone.permits == Some(Sharing::Parts));
+    assert!(alone.observations.is_none() && alone.permits == Some(Sharing::Parts));
     let settings = read("off", "parts").expect("sound").settings;
     assert!(settings.stewards && settings.shares);
     assert!(!read("off", "on").expect("sound").settings.shares);
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -20,7 +20,7 @@
 use stand::*;
 use tokio::sync::{mpsc, watch};
 use tulipfall::exchange::{Clock, Member};
-use tulipfall::fleet::{Before, DistributionSetup, Setup, start};
+use tulipfall::fleet::{DistributionSetup, InitialEndpoints, Setup, start};
 use tulipfall::input::Input;
 use tulipfall::interface::{ListForm, Listed, RuleFigures};
 use tulipfall::standing::Standing;
@@ -447,7 +447,7 @@
     let (replaced, process) =
         (watch::channel(setup.all.clone()).1, (Arc::new(Standing::starting(clock)), Arc::default()));
     let base = [base_member()];
-    let before = Before::Configured(&base);
+    let before = InitialEndpoints::Configured(&base);
     let started = start(&setup, &RULES, (&state, 0), (clock, 1), (inputs, replaced), process, before).await;
     let _started = started.expect("the port is free");
     let endpoint: SocketAddr = "127.0.0.1:9".parse().expect("an address");
@@ -503,7 +503,7 @@
         bytes_per_s: 4000,
         permits: None,
         repeats: false,
-        facts: None,
+        observations: None,
         turns: None,
         distribution: Some(distribution),
         control: None,
--- a/tests/link.rs
+++ b/tests/link.rs
@@ -12,7 +12,7 @@
 use record::model::Evidence;
 use tokio::sync::{mpsc, watch};
 use tulipfall::exchange::{CallEnd, Clock};
-use tulipfall::fleet::{Before, FactsSetup, Setup, ToFleet, ended, start};
+use tulipfall::fleet::{FleetUpdate, InitialEndpoints, ObservationSetup, Setup, call_ended, start};
 use tulipfall::input::Input;
 use tulipfall::interface::{Outcome, Report, RuleFigures, TargetId, Word};
 use tulipfall::standing::Standing;
@@ -51,7 +51,7 @@
 
 /// A relay's end of the link, started.
 struct End {
-    tell: mpsc::UnboundedSender<ToFleet>,
+    updates: mpsc::UnboundedSender<FleetUpdate>,
     inputs: mpsc::Receiver<Input>,
 }
 
@@ -65,7 +65,7 @@
         bytes_per_s: 4000,
         permits: Some(sharing),
         repeats: false,
-        facts: facts.then_some(FactsSetup { warm: false }),
+        observations: facts.then_some(ObservationSetup { warm: false }),
         turns: None,
         distribution: None,
         control: None,
@@ -73,9 +73,9 @@
     let folder = std::env::temp_dir();
     let replaced = watch::channel(all.to_vec()).1;
     let process = (Arc::new(Standing::starting(clock)), Arc::default());
-    let (clock, before) = ((clock, u64::from(me)), Before::Configured(&[]));
+    let (clock, before) = ((clock, u64::from(me)), InitialEndpoints::Configured(&[]));
     let started = start(&setup, &RULES, (&folder, 0), clock, (inputs, replaced), process, before).await;
-    End { tell: started.expect("the port is free").tell, inputs: received }
+    End { updates: started.expect("the port is free").updates, inputs: received }
 }
 
 fn end_of_call(outcome: Outcome, began: i64) -> CallEnd {
@@ -108,20 +108,23 @@
         let destinations = 1..=12;
         for relay in &relays {
             let listed = destinations.clone().map(|destination| (destination, 40.0)).collect();
-            relay.tell.send(ToFleet::Listed(listed)).expect("it runs");
+            relay.updates.send(FleetUpdate::Listed(listed)).expect("it runs");
         }
         for destination in destinations {
             for relay in &relays {
-                relay.tell.send(ToFleet::Want(destination, vec![(1000, 2)])).expect("it runs");
+                relay
+                    .updates
+                    .send(FleetUpdate::RequestGrants(destination, vec![(1000, 2)]))
+                    .expect("it runs");
             }
             for relay in &mut relays {
                 let had = permits(&mut relay.inputs, destination, 2).await;
                 assert_eq!(had, 2, "destination {destination}");
-                relay.tell.send(ToFleet::Want(destination, vec![])).expect("it runs");
+                relay.updates.send(FleetUpdate::RequestGrants(destination, vec![])).expect("it runs");
                 let end = end_of_call(Outcome::Ok, clock.now());
                 relay
-                    .tell
-                    .send(ended(destination, end.outcome, (end.began, clock.now()), &end.report))
+                    .updates
+                    .send(call_ended(destination, end.outcome, (end.began, clock.now()), &end.report))
                     .expect("it runs");
             }
         }
@@ -134,13 +137,16 @@
     let all = free(2);
     let first = begin(0, &all, Sharing::Whole, true, clock).await;
     let mut second = begin(1, &all, Sharing::Whole, true, clock).await;
-    second.tell.send(ToFleet::Listed(vec![(5, 40.0)])).expect("it runs");
-    first.tell.send(ToFleet::Listed(vec![(5, 40.0)])).expect("it runs");
+    second.updates.send(FleetUpdate::Listed(vec![(5, 40.0)])).expect("it runs");
+    first.updates.send(FleetUpdate::Listed(vec![(5, 40.0)])).expect("it runs");
     for _ in 0..4 {
         let end = end_of_call(Outcome::ConnectFailed, clock.now());
-        first.tell.send(ended(5, end.outcome, (end.began, clock.now()), &end.report)).expect("it runs");
+        first
+            .updates
+            .send(call_ended(5, end.outcome, (end.began, clock.now()), &end.report))
+            .expect("it runs");
     }
-    second.tell.send(ToFleet::Want(5, vec![(1000, 1)])).expect("it runs");
+    second.updates.send(FleetUpdate::RequestGrants(5, vec![(1000, 1)])).expect("it runs");
     let (mut permitted, mut shut) = (false, false);
     while !(permitted && shut) {
         match tokio::time::timeout(FAR, second.inputs.recv()).await.expect("both come") {
@@ -156,7 +162,7 @@
     let clock = Clock::start();
     let all = free(2);
     let steward = begin(0, &all, Sharing::Whole, false, clock).await;
-    steward.tell.send(ToFleet::Listed(vec![(5, 40.0)])).expect("it runs");
+    steward.updates.send(FleetUpdate::Listed(vec![(5, 40.0)])).expect("it runs");
     let old = tokio::net::UdpSocket::bind(all[1]).await.expect("the port is free");
     let mut buffer = [0; 512];
     let permit = async {
--- a/tests/stand/control.rs
+++ b/tests/stand/control.rs
@@ -10,7 +10,7 @@
 };
 use fleet::incarnation;
 use fleet::keys::Keys;
-use fleet::link::{self, Link};
+use fleet::link::{self, PeerLink};
 use rollout::topology::{Machine, Place, Role, Topology};
 use rollout::{Config, Micros, Node, Peer};
 
@@ -100,7 +100,7 @@
 struct Machinery {
     socket: UdpSocket,
     relays: Vec<SocketAddr>,
-    link: Link,
+    link: PeerLink,
     node: Node,
     answers: bool,
 }
@@ -122,11 +122,11 @@
             peers: (0..=me).collect(),
             keys,
             bytes_per_s: 100_000,
-            asks: false,
+            pings_silent_peers: false,
         };
         let config = Config { serve_bytes_per_s: SERVE_BYTES_PER_S, ..Config::new(me, topology, signers, 1) };
         let node = Node::new(config, DestinationSet::new(), None, now);
-        Machinery { socket, relays, link: Link::new(link, now), node, answers: true }
+        Machinery { socket, relays, link: PeerLink::new(link, now), node, answers: true }
     }
 
     fn run(mut self, orders: &Receiver<Order>) {
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -186,7 +186,7 @@
     while peer.recv_from(&mut buffer).is_ok() {}
     peer.set_nonblocking(false).expect("a socket");
     let (n, _) = peer.recv_from(&mut buffer).expect("a note of the new one");
-    let (head, _) = fleet::note::open(&fleet::keys::Keys::default(), &buffer[..n]).expect("it is read");
+    let (head, _) = fleet::datagram::open(&fleet::keys::Keys::default(), &buffer[..n]).expect("it is read");
     assert_eq!(head.from, 0);
 }
 
