--- a/crates/peers/src/node.rs
+++ b/crates/peers/src/node.rs
@@ -6,9 +6,9 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use fleet::link::{Channel, Said, Sender};
+use fleet::datagram::FRAME_OVERHEAD_BYTES;
+use fleet::link::{Channel, OutgoingFrame, Sender};
 use fleet::members::Members;
-use fleet::note::FRAME;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -128,8 +128,8 @@
 
     /// Replaces the set of peers, after a reload of the configuration.
     pub fn set_members(&mut self, members: &Members) {
-        self.table.trust.retain(|peer| members.has(peer));
-        self.answers.retain(|answer| members.has(answer.to));
+        self.table.trust.retain(|peer| members.contains(peer));
+        self.answers.retain(|answer| members.contains(answer.to));
     }
 
     /// Adds an observation of this relay; `traffic` is the rate of its calls to the destination, in calls a second. Returns
@@ -152,7 +152,7 @@
 
     /// Adds an observation from the snapshot of an earlier process of this relay.
     pub fn restore(&mut self, now: Micros, members: &Members, observation: Observation) {
-        if members.has(observation.source) || observation.source == self.config.me {
+        if members.contains(observation.source) || observation.source == self.config.me {
             self.table.restore(now, observation);
         }
     }
@@ -167,7 +167,7 @@
     fn receive_observation(
         &mut self, now: Micros, from: &Sender, members: &Members, received: &RelativeObservation,
     ) {
-        let sent = now - from.late;
+        let sent = now - from.delay;
         let observation = Observation {
             destination: received.destination,
             observed: received.observed.shifted(sent),
@@ -183,7 +183,7 @@
             .table
             .believed(now, observation.destination, kind)
             .map(|(observation, _)| observation.observed);
-        if members.has(observation.source) && self.table.merge(now, observation) {
+        if members.contains(observation.source) && self.table.merge(now, observation) {
             self.update_count += 1;
             if self.updates.len() < MAX_WAITING {
                 self.updates.push(observation);
@@ -229,7 +229,9 @@
     }
 
     /// Sends one frame of changes to up to [`FANOUT`] peers. Returns the bytes used, or 0 if there are no changes.
-    fn send_changes(&mut self, now: Micros, members: &Members, room: usize, out: &mut Vec<Said>) -> usize {
+    fn send_changes(
+        &mut self, now: Micros, members: &Members, room: usize, out: &mut Vec<OutgoingFrame>,
+    ) -> usize {
         if self.changes.is_empty() {
             return 0;
         }
@@ -244,18 +246,18 @@
             return 1;
         }
         let used = to.len() * cost(&items);
-        out.extend(to.into_iter().map(|to| Said { to, bytes: items.clone() }));
+        out.extend(to.into_iter().map(|to| OutgoingFrame { to, bytes: items.clone() }));
         used.max(1)
     }
 
     /// Sends one frame of the next answer, in rotation. Returns the bytes used, or 0 if no answer is due.
-    fn send_answer(&mut self, now: Micros, room: usize, out: &mut Vec<Said>) -> usize {
+    fn send_answer(&mut self, now: Micros, room: usize, out: &mut Vec<OutgoingFrame>) -> usize {
         let Some(at) = self.answers.iter().position(|answer| answer.from <= now) else { return 0 };
         let Some(mut answer) = self.answers.remove(at) else { return 0 };
         let bytes = self.fill_frame(now, room, &mut answer.keys);
         let used = cost(&bytes);
         if !bytes.is_empty() {
-            out.push(Said { to: answer.to, bytes });
+            out.push(OutgoingFrame { to: answer.to, bytes });
         }
         if !answer.keys.is_empty() {
             self.answers.push_back(answer);
@@ -331,7 +333,7 @@
         CHANNEL
     }
 
-    fn hear(&mut self, now: Micros, from: &Sender, members: &Members, bytes: &[u8]) -> bool {
+    fn receive_frame(&mut self, now: Micros, from: &Sender, members: &Members, bytes: &[u8]) -> bool {
         let Some((items, skipped)) = decode(bytes) else { return false };
         for item in items {
             match item {
@@ -342,7 +344,9 @@
         skipped == 0
     }
 
-    fn say(&mut self, now: Micros, members: &Members, room: usize, allowance: usize) -> Vec<Said> {
+    fn poll_frames(
+        &mut self, now: Micros, members: &Members, room: usize, allowance: usize,
+    ) -> Vec<OutgoingFrame> {
         if now >= self.next_cleanup {
             self.next_cleanup = now + CLEANUP_INTERVAL;
             self.table.drop_stale(now);
@@ -353,21 +357,24 @@
         }
         let (mut out, mut left) = (Vec::new(), allowance);
         // A frame starts only where the allowance covers a whole datagram; one to several peers may exceed it by the copies.
-        while left >= fleet::note::MOST {
+        while left >= fleet::datagram::MAX_DATAGRAM_BYTES {
             let Some((to, item)) = (!self.requests.is_empty()).then(|| self.requests.remove(0)) else {
                 break;
             };
             let mut bytes = item.encode();
             self.add_changes(now, room, &mut bytes);
             left = left.saturating_sub(cost(&bytes));
-            out.push(Said { to, bytes });
+            out.push(OutgoingFrame { to, bytes });
         }
         // Answers and changes alternate, so that neither waits until all of the other are sent.
-        while left >= fleet::note::MOST {
+        while left >= fleet::datagram::MAX_DATAGRAM_BYTES {
             let answered = self.send_answer(now, room, &mut out);
             left = left.saturating_sub(answered);
-            let changed =
-                if left >= fleet::note::MOST { self.send_changes(now, members, room, &mut out) } else { 0 };
+            let changed = if left >= fleet::datagram::MAX_DATAGRAM_BYTES {
+                self.send_changes(now, members, room, &mut out)
+            } else {
+                0
+            };
             left = left.saturating_sub(changed);
             if answered + changed == 0 {
                 break;
@@ -388,7 +395,7 @@
 /// The bytes that a frame uses of the link's budget, with its share of the datagram's header.
 fn cost(bytes: &[u8]) -> usize {
     const HEADER_SHARE: usize = 16;
-    if bytes.is_empty() { 0 } else { bytes.len() + FRAME + HEADER_SHARE }
+    if bytes.is_empty() { 0 } else { bytes.len() + FRAME_OVERHEAD_BYTES + HEADER_SHARE }
 }
 
 /// Whether a change is sent at once: an outage that began or ended, or a new server-requested wait.
--- a/crates/peers/src/standalone.rs
+++ b/crates/peers/src/standalone.rs
@@ -1,7 +1,7 @@
 //! A node with a peer link of its own, for simulations and proofs in which observations are all that relays exchange.
 
-use fleet::link::{self, Counts, Link, Out};
-use fleet::note::NoteError;
+use fleet::datagram::DatagramError;
+use fleet::link::{self, LinkCounters, OutgoingDatagram, PeerLink};
 
 use crate::node::{Config, Node};
 use crate::observation::{Micros, Observation};
@@ -10,7 +10,7 @@
 #[derive(Debug)]
 pub struct StandaloneNode {
     /// The peer link.
-    pub link: Link,
+    pub link: PeerLink,
     /// The observation channel.
     pub node: Node,
 }
@@ -18,20 +18,20 @@
 impl StandaloneNode {
     /// Creates a relay that starts now.
     pub fn new(link: link::Config, node: Config, now: Micros) -> Self {
-        StandaloneNode { link: Link::new(link, now), node: Node::new(node, now) }
+        StandaloneNode { link: PeerLink::new(link, now), node: Node::new(node, now) }
     }
 
     /// Processes a datagram. Returns the observations in it that are new.
     ///
     /// # Errors
     /// Why the datagram was ignored. It is counted.
-    pub fn receive(&mut self, now: Micros, bytes: &[u8]) -> Result<Vec<Observation>, NoteError> {
+    pub fn receive(&mut self, now: Micros, bytes: &[u8]) -> Result<Vec<Observation>, DatagramError> {
         self.link.receive(now, bytes, &mut [&mut self.node])?;
         Ok(self.node.take_updates())
     }
 
     /// Returns the datagrams to send now.
-    pub fn poll(&mut self, now: Micros) -> Vec<Out> {
+    pub fn poll(&mut self, now: Micros) -> Vec<OutgoingDatagram> {
         self.link.poll(now, &mut [&mut self.node])
     }
 
@@ -41,7 +41,7 @@
     }
 
     /// Counters of the link.
-    pub fn counts(&self) -> &Counts {
+    pub fn counts(&self) -> &LinkCounters {
         self.link.counts()
     }
 
--- a/crates/peers/tests/network.rs
+++ b/crates/peers/tests/network.rs
@@ -4,9 +4,9 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
+use fleet::datagram::{DatagramError, MAX_DATAGRAM_BYTES};
 use fleet::keys::{Key, Keys};
 use fleet::link;
-use fleet::note::{MOST, NoteError};
 use peers::node::Config;
 use peers::observation::{Kind, Micros, Observed, Peer, SECOND};
 use peers::standalone::StandaloneNode;
@@ -51,7 +51,7 @@
         peers: (0..n as Peer).collect(),
         keys: keys.clone(),
         bytes_per_s: 8_000,
-        asks: true,
+        pings_silent_peers: true,
     };
     let seed = if asks { 99 } else { me as u64 };
     StandaloneNode::new(link, Config { me: me as Peer, max_observations: 4_000, seed, asks }, now)
@@ -95,7 +95,7 @@
                 }
                 let now = self.clock(n);
                 for out in self.nodes[n].0.poll(now) {
-                    assert!(out.bytes.len() <= MOST);
+                    assert!(out.bytes.len() <= MAX_DATAGRAM_BYTES);
                     self.count += 1;
                     let copies = 1 + usize::from(self.rng.random_bool(self.faults.duplication));
                     for _ in 0..copies {
@@ -282,9 +282,9 @@
         assert_eq!(receiver.receive(START + 5000, &datagram(sending)).expect("accepted").len(), 1);
     }
     let mut receiver = node(1, &both);
-    assert_eq!(receiver.receive(START, &datagram(&Keys::default())), Err(NoteError::UnknownKey(0)));
+    assert_eq!(receiver.receive(START, &datagram(&Keys::default())), Err(DatagramError::UnknownKey(0)));
     let valid = datagram(&old);
     receiver.receive(START + 5000, &valid).expect("accepted");
-    assert_eq!(receiver.receive(START + 6000, &valid), Err(NoteError::Replayed));
+    assert_eq!(receiver.receive(START + 6000, &valid), Err(DatagramError::Replayed));
     assert_eq!(receiver.counts().ignored(), 2);
 }
--- a/crates/proofs/src/warm_start.rs
+++ b/crates/proofs/src/warm_start.rs
@@ -392,7 +392,7 @@
         peers: (0..=me).collect(),
         keys: Keys::default(),
         bytes_per_s: 20_000,
-        asks: true,
+        pings_silent_peers: true,
     };
     let mut node =
         StandaloneNode::new(link, Config { me, max_observations: 4096, seed: 1, asks: false }, now);
--- a/crates/repeats/src/node.rs
+++ b/crates/repeats/src/node.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use fleet::frame;
-use fleet::link::{Channel, Said, Sender};
+use fleet::link::{Channel, OutgoingFrame, Sender};
 use fleet::members::Members;
 use fleet::nearest;
 use overload::backlog::Backlog;
@@ -536,11 +536,11 @@
 
     /// Not limited by the link's byte budget: retries wait for these items, and their number is limited by first attempts,
     /// requests and transfers.
-    fn bound(&self) -> bool {
+    fn is_budgeted(&self) -> bool {
         false
     }
 
-    fn hear(&mut self, now: Micros, from: &Sender, _: &Members, bytes: &[u8]) -> bool {
+    fn receive_frame(&mut self, now: Micros, from: &Sender, _: &Members, bytes: &[u8]) -> bool {
         self.avoided.remove(&from.peer);
         self.incarnations.insert(from.peer, from.incarnation);
         let (items, valid) = decode(bytes);
@@ -548,7 +548,7 @@
         valid
     }
 
-    fn say(&mut self, now: Micros, _: &Members, room: usize, _: usize) -> Vec<Said> {
+    fn poll_frames(&mut self, now: Micros, _: &Members, room: usize, _: usize) -> Vec<OutgoingFrame> {
         let mut due = std::mem::take(&mut self.changed);
         if now >= self.next_check {
             due.extend(self.destinations.keys());
--- a/crates/repeats/tests/fleet.rs
+++ b/crates/repeats/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use fleet::keys::Keys;
-use fleet::link::{self, Channel, Link};
+use fleet::link::{self, Channel, PeerLink};
 use proptest::prelude::*;
 use repeats::node::{Config, Node};
 use repeats::{Micros, Peer, SECOND};
@@ -25,7 +25,7 @@
 
 struct Simulation {
     now: Micros,
-    nodes: Vec<Option<(Link, Node)>>,
+    nodes: Vec<Option<(PeerLink, Node)>>,
     /// Paused relays, and when they resume.
     paused: BTreeMap<usize, Micros>,
     /// Datagrams in flight: arrival time, sender, receiver, bytes.
@@ -68,10 +68,10 @@
             peers: (0..relays).collect(),
             keys: Keys::default(),
             bytes_per_s: 4000,
-            asks: false,
+            pings_silent_peers: false,
         };
         let node = Node::new(Config { me, relays, incarnation }, self.now);
-        self.nodes[relay] = Some((Link::new(config, self.now), node));
+        self.nodes[relay] = Some((PeerLink::new(config, self.now), node));
     }
 
     fn random(&mut self) -> f64 {
@@ -261,8 +261,9 @@
         total: 1_000_000,
         is_reply: false,
     };
-    let from = link::Sender { peer: false_peer, incarnation: 9, sent: fleet::note::Stamp::of(now), late: 0 };
-    assert!(node.hear(now, &from, link.members(), &transfer.encode()));
+    let from =
+        link::Sender { peer: false_peer, incarnation: 9, sent: fleet::datagram::Stamp::of(now), delay: 0 };
+    assert!(node.receive_frame(now, &from, link.members(), &transfer.encode()));
     assert_eq!(node.status(now)[0].tokens, 20, "tokens that 10 calls a second earn in ten seconds");
 }
 
--- a/src/fleet/told.rs
+++ b/src/fleet/updates.rs
@@ -1,4 +1,4 @@
-//! What the runtime tells the fleet's task, and what facts mean to the module. It decides nothing.
+//! Updates from the runtime to the fleet's task, and the conversion of observations to reports for the rules.
 
 use peers::observation::{Observation, Observed};
 use peers::observer::{CallSignal, ObservedCall};
@@ -8,33 +8,34 @@
 
 use crate::interface::{DestinationId, Hearsay, Micros, Outcome, Word};
 
-/// What the runtime tells.
+/// An update from the runtime.
 #[derive(Debug)]
-pub enum ToFleet {
-    /// Destinations and the rates that the directory lists for them, in calls a second.
+pub enum FleetUpdate {
+    /// Destinations, and the rates that the directory lists for them, in calls per second.
     Listed(Vec<(i64, f64)>),
-    /// What waits for a destination beyond the permits held.
-    Want(i64, Tiers),
-    /// A first attempt at a destination starts.
-    First(i64),
-    /// Repeats that wait for a destination beyond those that may start.
-    WantRepeats(i64, Tiers),
-    /// How a call to a destination ended.
-    Ended {
+    /// Messages that wait for a destination beyond the grants held, by priority.
+    RequestGrants(i64, Tiers),
+    /// A first attempt at a destination has started.
+    FirstAttempt(i64),
+    /// Retries that wait for a destination beyond the retry tokens held, by priority.
+    RequestRetryTokens(i64, Tiers),
+    /// A call to a destination has ended.
+    CallEnded {
         /// The destination.
         destination: i64,
-        /// What it shows a steward, if anything.
+        /// The report to the limit coordinator, if any.
         report: Option<Report>,
-        /// What it shows the witness.
+        /// The outcome, for the observer of the destination's health.
         seen: ObservedCall,
     },
 }
 
-/// What the end of a call shows that began then, with what the endpoint told of its limit.
-pub fn ended(
-    destination: i64, outcome: Outcome, (began, ended): (Micros, Micros), told: &crate::interface::Report,
-) -> ToFleet {
-    let (seen, sign, wait) = match outcome {
+/// The update for the end of a call, with the limit report of its endpoint.
+pub fn call_ended(
+    destination: i64, outcome: Outcome, (began, ended): (Micros, Micros),
+    limit_report: &crate::interface::Report,
+) -> FleetUpdate {
+    let (observed, sign, wait) = match outcome {
         Outcome::Ok => (CallSignal::Success, Some(Sign::Well), None),
         Outcome::Full(wait) => (CallSignal::Refused(wait), Some(Sign::Refused), wait),
         Outcome::Crowded => (CallSignal::Inconclusive, Some(Sign::Crowded), None),
@@ -43,18 +44,19 @@
         }
         Outcome::Spoilt | Outcome::Cancelled | Outcome::Skipped => (CallSignal::Inconclusive, None, None),
     };
-    let (limit, left) = (told.limit, told.left);
+    let (limit, left) = (limit_report.limit, limit_report.left);
     let report = sign.map(|sign| Report { sign, began, wait, limit, left });
-    ToFleet::Ended {
+    FleetUpdate::CallEnded {
         destination,
         report,
-        seen: ObservedCall { destination, began, ended, signal: seen, limit },
+        seen: ObservedCall { destination, began, ended, signal: observed, limit },
     }
 }
 
-/// A fact as the module hears of it. A wait binds who was told it, a pace and connections are each relay's own, and a
-/// limit comes with the first answer, where a wrong one would hold a partner back: these are for operators alone.
-pub(super) fn hearsay(fact: &Observation) -> Option<Hearsay> {
+/// An observation as a report to the rules. A server-requested wait binds only the relay that received it, a pace and
+/// connections are each relay's own, and a limit arrives with the first answer anyway, while a wrong one would throttle a
+/// partner: these observations are only shown to operators and give `None`.
+pub(super) fn report_of(fact: &Observation) -> Option<Hearsay> {
     let word = match fact.observed {
         Observed::Failing { since, recovering_since: None, .. } => Word::Shut(since),
         Observed::Failing { recovering_since, .. } => Word::Answers(recovering_since),
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -24,7 +24,7 @@
 
 use crate::classes::Classes;
 use crate::exchange::{Clock, Exchange, Notice, OutboundCall};
-use crate::fleet::ToFleet;
+use crate::fleet::FleetUpdate;
 use crate::handed::{Offer, RemainingCalls};
 use crate::input::Input;
 use crate::interface::*;
@@ -82,7 +82,7 @@
     held_bytes: usize,
     journal: Journal,
     outbox: Option<Outbox>,
-    fleet: Option<mpsc::UnboundedSender<ToFleet>>,
+    fleet: Option<mpsc::UnboundedSender<FleetUpdate>>,
     caller: Box<dyn Caller>,
     notices: mpsc::UnboundedSender<Notice>,
     status: Arc<ProcessStatus>,
@@ -192,7 +192,7 @@
 
     /// Connects the runtime to its fleet, which receives requests for grants and the ends of calls.
     #[must_use]
-    pub fn with_fleet(mut self, fleet: mpsc::UnboundedSender<ToFleet>) -> Self {
+    pub fn with_fleet(mut self, fleet: mpsc::UnboundedSender<FleetUpdate>) -> Self {
         self.fleet = Some(fleet);
         self
     }
@@ -254,10 +254,10 @@
         Some(if idle { (requested + STOP_LINGER).min(until + STOP_LINGER) } else { until + STOP_LINGER / 2 })
     }
 
-    /// Sends a message to the fleet, if there is one. A fleet that has ended is not an error.
-    fn notify_fleet(&self, message: ToFleet) {
+    /// Sends an update to the fleet, if there is one. A fleet that has ended is not an error.
+    fn notify_fleet(&self, update: FleetUpdate) {
         if let Some(fleet) = &self.fleet {
-            let _ = fleet.send(message);
+            let _ = fleet.send(update);
         }
     }
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -192,7 +192,8 @@
     while peer.recv_from(&mut buffer).is_ok() {}
     peer.set_nonblocking(false).expect("a socket");
     let (n, _) = peer.recv_from(&mut buffer).expect("a datagram of the new process");
-    let (head, _) = fleet::note::open(&fleet::keys::Keys::default(), &buffer[..n]).expect("a valid datagram");
+    let (head, _) =
+        fleet::datagram::open(&fleet::keys::Keys::default(), &buffer[..n]).expect("a valid datagram");
     assert_eq!(head.from, 0);
 }
 
