--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -23,7 +23,7 @@
 use ::fleet::link::{self, Channel, PeerLink};
 use ::fleet::{Peer, incarnation};
 use peers::node::Node as ObservationNode;
-use peers::witness::Witness;
+use peers::observer::Observer;
 use permits::steward::Cold;
 use permits::{Sharing, earlier, node as permit};
 use repeats::node as repeat;
@@ -38,7 +38,7 @@
 use crate::input::Input;
 use crate::interface::{Hearsay, Micros, RuleFigures};
 use crate::retry::until_works;
-use crate::standing::Standing;
+use crate::standing::ProcessStatus;
 
 use control::{Command, MAX_PENDING_COMMANDS, accept, listen, serve};
 use cutoffs::Cutoffs;
@@ -114,7 +114,7 @@
     link: PeerLink,
     permits: Option<permit::Node>,
     repeats: Option<repeat::Node>,
-    observations: Option<(ObservationNode, Witness, Snapshot)>,
+    observations: Option<(ObservationNode, Observer, Snapshot)>,
     maintenance: Option<Maintenance>,
     distribution: Option<Distribution>,
     cutoffs: Cutoffs,
@@ -144,7 +144,7 @@
 pub async fn start(
     setup: &Setup, rules: &RuleFigures, (state, room): (&Path, u64), (clock, seed): (Clock, u64),
     (inputs, relay_lists): (mpsc::Sender<Input>, watch::Receiver<Vec<SocketAddr>>),
-    (standing, leave): (Arc<Standing>, Arc<Notify>), before: InitialEndpoints<'_>,
+    (standing, leave): (Arc<ProcessStatus>, Arc<Notify>), before: InitialEndpoints<'_>,
 ) -> std::io::Result<FleetHandle> {
     let now = clock.now();
     let start = incarnation(now);
@@ -186,14 +186,16 @@
     let repeats = setup.repeats.then(|| repeat::Node::new(config, now));
     let mut restored_reports = Vec::new();
     let observations = setup.observations.as_ref().map(|how| {
-        let config = peers::node::Config { me: setup.me, most_facts: MAX_OBSERVATIONS, seed, asks: how.warm };
+        let config =
+            peers::node::Config { me: setup.me, max_observations: MAX_OBSERVATIONS, seed, asks: how.warm };
         let mut observations = ObservationNode::new(config, now);
         let snapshot = Snapshot::new(state, room, now);
         if how.warm {
             snapshot.read().into_iter().for_each(|fact| observations.restore(now, link.members(), fact));
         }
-        restored_reports = observations.ledger().acted_on(now).filter_map(|fact| report_of(&fact)).collect();
-        (observations, Witness::default(), snapshot)
+        restored_reports =
+            observations.table().all_actionable(now).filter_map(|fact| report_of(&fact)).collect();
+        (observations, Observer::default(), snapshot)
     });
     let maintenance = setup
         .turns
@@ -228,7 +230,7 @@
 /// The enabled channels, the most urgent first.
 fn channels<'a>(
     permits: &'a mut Option<permit::Node>, repeats: &'a mut Option<repeat::Node>,
-    observations: &'a mut Option<(ObservationNode, Witness, Snapshot)>,
+    observations: &'a mut Option<(ObservationNode, Observer, Snapshot)>,
     maintenance: &'a mut Option<Maintenance>, distribution: &'a mut Option<Distribution>,
 ) -> Vec<&'a mut dyn Channel> {
     let permits = permits.iter_mut().map(|permits| permits as &mut dyn Channel);
@@ -271,7 +273,7 @@
                 ),
             );
             if let Some((observations, _, snapshot)) = &mut self.observations {
-                snapshot.write_if_due(now, observations.ledger());
+                snapshot.write_if_due(now, observations.table());
                 next = next.min(snapshot.due());
             }
             if let Some(distribution) = &mut self.distribution {
@@ -339,12 +341,12 @@
                 let _ = self.inputs.try_send(Input::Waits(destination, waits));
             }
         }
-        for tokens in self.repeats.iter_mut().flat_map(repeat::Node::take_handed).collect::<Vec<_>>() {
+        for tokens in self.repeats.iter_mut().flat_map(repeat::Node::take_updates).collect::<Vec<_>>() {
             // Tokens are returned to be offered again, as no other relay holds them.
             if let (Err(TrySendError::Full(Input::Repeats(tokens))), Some(repeats)) =
                 (self.inputs.try_send(Input::Repeats(tokens)), &mut self.repeats)
             {
-                repeats.not_taken(tokens);
+                repeats.return_update(tokens);
             }
         }
         if let Some(distribution) = &mut self.distribution {
@@ -363,24 +365,24 @@
             FleetUpdate::Listed(listed) => {
                 for (destination, rate) in listed {
                     self.permits.iter_mut().for_each(|permits| permits.listed(destination, rate));
-                    self.repeats.iter_mut().for_each(|repeats| repeats.listed(now, destination, rate));
+                    self.repeats.iter_mut().for_each(|repeats| repeats.set_rate(now, destination, rate));
                 }
             }
             FleetUpdate::RequestGrants(destination, tiers) => {
                 self.permits.iter_mut().for_each(|permits| permits.want(now, destination, tiers.clone()));
             }
             FleetUpdate::FirstAttempt(destination) => {
-                self.repeats.iter_mut().for_each(|repeats| repeats.first(now, destination));
+                self.repeats.iter_mut().for_each(|repeats| repeats.first_attempt(now, destination));
             }
             FleetUpdate::RequestRetryTokens(destination, tiers) => {
-                self.repeats.iter_mut().for_each(|repeats| repeats.want(now, destination, tiers.clone()));
+                self.repeats.iter_mut().for_each(|repeats| repeats.request(now, destination, tiers.clone()));
             }
             FleetUpdate::CallEnded { destination, report, seen } => {
                 if let (Some(permits), Some(report)) = (&mut self.permits, report) {
                     permits.report(now, destination, &report);
                 }
                 if let Some((observations, witness, snapshot)) = &mut self.observations {
-                    let (known, traffic) = witness.saw(&seen);
+                    let (known, traffic) = witness.call_ended(&seen);
                     for known in known {
                         if observations.observe(seen.ended, destination, known, traffic) {
                             snapshot.write_soon(seen.ended);
@@ -408,11 +410,11 @@
             return permits.hear_earlier(now, bytes, self.link.keys());
         }
         if let Some((observations, _, snapshot)) = &mut self.observations {
-            let received = observations.take_news();
-            if received.iter().any(|fact| fact.known.differs(now) >= 1.0) {
+            let received = observations.take_updates();
+            if received.iter().any(|fact| fact.observed.impact(now) >= 1.0) {
                 snapshot.write_soon(now);
             }
-            let effective = received.iter().filter_map(|fact| observations.ledger().heeded(now, fact));
+            let effective = received.iter().filter_map(|fact| observations.table().actionable(now, fact));
             for report_of in effective.filter_map(|fact| report_of(&fact)) {
                 // While the runtime's queue is full reports are dropped.
                 let _ = self.inputs.try_send(Input::Told(report_of));
@@ -434,9 +436,9 @@
         let relays = count(&self.setup.all);
         self.link.replace(self.setup.peers());
         self.permits.iter_mut().for_each(|permits| permits.replaced(relays));
-        self.repeats.iter_mut().for_each(|repeats| repeats.replaced(relays));
+        self.repeats.iter_mut().for_each(|repeats| repeats.set_relays(relays));
         if let Some((observations, ..)) = &mut self.observations {
-            observations.replaced(self.link.members());
+            observations.set_members(self.link.members());
         }
         self.maintenance.iter_mut().for_each(|maintenance| maintenance.set_relay_count(relays));
         info!("the fleet has {} relays", self.setup.all.len());
--- a/src/fleet/show.rs
+++ b/src/fleet/show.rs
@@ -2,8 +2,8 @@
 
 use ::fleet::Peer;
 use ::fleet::members::Member;
-use peers::fact::Fact;
 use peers::node::Node as ObservationNode;
+use peers::observation::Observation;
 use permits::node as permit;
 use repeats::node as repeat;
 use serde_json::{Map, Value, json};
@@ -18,14 +18,14 @@
     let members = task.link.members().all();
     let peers: Vec<Value> =
         members.map(|(peer, member)| show_peer(now, peer, &member, observations)).collect();
-    let listed = observations.into_iter().flat_map(|observations| observations.ledger().all(now));
+    let listed = observations.into_iter().flat_map(|observations| observations.table().all(now));
     let listed: Vec<Value> = listed.map(|observation| show_observation(now, &observation)).collect();
     let permits = task.permits.iter();
     let shares: Vec<Value> =
         permits.clone().flat_map(|permits| permits.shares(now)).map(show_share).collect();
     let queues = permits.flat_map(|permits| permits.queues(now));
     let queues: Vec<Value> = queues.map(|queue| cutoffs::show(&queue)).collect();
-    let budgets = task.repeats.iter().flat_map(|repeats| repeats.budgets(now));
+    let budgets = task.repeats.iter().flat_map(|repeats| repeats.status(now));
     let budgets: Vec<Value> = budgets.map(show_budget).collect();
     let counts = task.link.counts();
     let ignored: Map<String, Value> =
@@ -43,7 +43,7 @@
         "taken": counts.accepted,
         "ignored": ignored,
         "skipped": counts.skipped,
-        "news": observations.map_or(0, ObservationNode::news_count),
+        "news": observations.map_or(0, ObservationNode::update_count),
     })
 }
 
@@ -54,11 +54,11 @@
 fn show_peer(now: Micros, peer: Peer, member: &Member, observations: Option<&ObservationNode>) -> Value {
     json!({"peer": peer, "standing": format!("{:?}", member.state).to_lowercase(),
         "incarnation": member.incarnation, "heard_s_ago": member.last_heard.map(|at| seconds_since(now, at)),
-        "trust": observations.map(|observations| observations.ledger().trust.of(peer))})
+        "trust": observations.map(|observations| observations.table().trust.of(peer))})
 }
 
-fn show_observation(now: Micros, (observation, weight): &(Fact, f64)) -> Value {
-    json!({"destination": observation.destination, "known": observation.known, "seen_s_ago": seconds_since(now, observation.at),
+fn show_observation(now: Micros, (observation, weight): &(Observation, f64)) -> Value {
+    json!({"destination": observation.destination, "known": observation.observed, "seen_s_ago": seconds_since(now, observation.at),
         "by": observation.source, "hops": observation.hops, "weight": weight})
 }
 
@@ -67,8 +67,8 @@
         "lent": share.lent, "of": share.of, "sliced": share.sliced})
 }
 
-fn show_budget(budget: repeat::Budget) -> Value {
-    let repeat::Budget { destination, keeper, credits, counts, waiting: [here, asked] } = budget;
-    json!({"destination": destination, "keeper": keeper, "credits": credits, "firsts": counts.firsts,
-        "spent": counts.spent, "given": counts.given, "had": counts.had, "waiting": here, "asked": asked})
+fn show_budget(budget: repeat::BudgetStatus) -> Value {
+    let repeat::BudgetStatus { destination, coordinator, tokens, counts, waiting: [here, asked] } = budget;
+    json!({"destination": destination, "keeper": coordinator, "credits": tokens, "firsts": counts.first_attempts,
+        "spent": counts.spent, "given": counts.given, "had": counts.received, "waiting": here, "asked": asked})
 }
--- a/src/fleet/snapshot.rs
+++ b/src/fleet/snapshot.rs
@@ -4,8 +4,8 @@
 
 use std::path::{Path, PathBuf};
 
-use peers::fact::Fact;
-use peers::ledger::Ledger;
+use peers::observation::Observation;
+use peers::table::ObservationTable;
 
 use super::state_file;
 use crate::interface::Micros;
@@ -32,7 +32,7 @@
     }
 
     /// The observations that an earlier process wrote.
-    pub(super) fn read(&self) -> Vec<Fact> {
+    pub(super) fn read(&self) -> Vec<Observation> {
         state_file::read(&self.file)
     }
 
@@ -47,14 +47,14 @@
     }
 
     /// Writes the observations that are in effect, if a snapshot is due. The most significant ones are kept if not all fit.
-    pub(super) fn write_if_due(&mut self, now: Micros, ledger: &Ledger) {
+    pub(super) fn write_if_due(&mut self, now: Micros, ledger: &ObservationTable) {
         if now < self.due {
             return;
         }
         self.due = now + WRITE_INTERVAL;
-        let significant = |fact: &Fact| fact.known.differs(now) >= 1.0;
-        let mut persisted: Vec<Fact> = ledger.acted_on(now).filter(significant).collect();
-        persisted.sort_by(|a, b| b.known.differs(now).total_cmp(&a.known.differs(now)));
+        let significant = |fact: &Observation| fact.observed.impact(now) >= 1.0;
+        let mut persisted: Vec<Observation> = ledger.all_actionable(now).filter(significant).collect();
+        persisted.sort_by(|a, b| b.observed.impact(now).total_cmp(&a.observed.impact(now)));
         persisted.truncate(self.max_observations);
         // An error is logged by the callee, and the next snapshot is written in any case.
         let _ = state_file::write(&self.file, &persisted);
