--- a/src/handover/new.rs
+++ b/src/handover/new.rs
@@ -72,7 +72,7 @@
                         if known.is_some() { NewEvent::StateReceived } else { NewEvent::Lost }
                     }
                     Err(error) => {
-                        status.set_waiting_reason(&format!("another process owns the state folder: {error}"));
+                        status.set_waiting_reason(&format!("another process has the state folder: {error}"));
                         pause(clock).await;
                         continue;
                     }
--- a/src/handover/old.rs
+++ b/src/handover/old.rs
@@ -67,7 +67,7 @@
         };
         let compatible = version == PROTOCOL_VERSION && other == name;
         let why = (!compatible).then(|| {
-            format!("this is {name:?} with version {PROTOCOL_VERSION}, not {other:?} with version {version}")
+            format!("here are {name:?} and version {PROTOCOL_VERSION}, not {other:?} and {version}")
         });
         if let Some(why) = why {
             warn!("handover rejected: {why}");
