--- a/example/toy_server.rs
+++ b/example/toy_server.rs
@@ -1,18 +1,21 @@
-//! A toy endpoint for trying the relay: it prints what it gets and does what the body's first word says. It
-//! also takes the relay's notices. It must never be mistaken for a server: one thread a connection, no limits.
+//! An example endpoint for trying out the relay. It prints each request, and the first word of the body selects the answer
+//! (full, wait, error or silent; anything else succeeds). It also accepts the relay's non-delivery reports at /reports.
+//!
+//! Not for production: it runs one thread per connection and has no limits.
 
 use std::collections::HashSet;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, PoisonError};
 
-type Seen = Arc<Mutex<HashSet<String>>>;
+/// Message ids received so far.
+type SeenIds = Arc<Mutex<HashSet<String>>>;
 
 fn main() -> std::io::Result<()> {
     let address = std::env::args().nth(1).unwrap_or_else(|| "127.0.0.1:9100".into());
     let listener = TcpListener::bind(&address)?;
     println!("toy server on {address}");
-    let seen = Seen::default();
+    let seen = SeenIds::default();
     for stream in listener.incoming() {
         let (stream, seen) = (stream?, seen.clone());
         std::thread::spawn(move || connection(stream, &seen));
@@ -20,7 +23,7 @@
     Ok(())
 }
 
-fn connection(mut stream: TcpStream, seen: &Seen) -> std::io::Result<()> {
+fn connection(mut stream: TcpStream, seen: &SeenIds) -> std::io::Result<()> {
     let mut reader = BufReader::new(stream.try_clone()?);
     loop {
         let (mut first, mut id, mut key, mut length) = (String::new(), String::new(), String::new(), 0);
--- a/src/as2.rs
+++ b/src/as2.rs
@@ -1,7 +1,9 @@
-//! The AS2 front (RFC 4130): signed messages and signed receipts, in both directions, before the same runtime
-//! and so under the same rules as the platform's front. Owns the partners, the signatures, and which call
-//! waits for which receipt. It must never send a message on its own, take a receipt's word that it has not
-//! verified, or tell a duplicate anything but the receipt that the first one got.
+//! The AS2 front (RFC 4130): exchanges signed messages and signed receipts with partners, in both directions.
+//!
+//! It uses the same runtime as the platform's front, and so the same rules apply. It holds the partners' configuration,
+//! signs and verifies messages, and matches receipts to the calls that wait for them. Invariants: it sends no message unless
+//! the runtime asks for it, a receipt has no effect before its signature is verified, and a duplicate message gets the same
+//! receipt as the first one.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -27,127 +29,130 @@
 use crate::net::progress::Progress;
 use crate::net::{Doing, Protocol};
 
-/// An AS2 message may have so many bytes: a body, its signature and the frame around both.
-const MOST_MESSAGE: usize = 4 * MOST_BODY;
-/// So many receipts are remembered at once, in some 80 MB.
-const MOST_RECEIPTS: usize = 32_768;
-/// An asynchronous receipt is posted so often; after that the partner's own resend brings it again.
-const RECEIPT_POSTS: usize = 3;
-/// What may be out of a post's time for a receipt.
-const RECEIPT_POST: Micros = 5_000_000;
+/// Maximum size of an AS2 message in bytes: body, signature and MIME structure.
+const MAX_MESSAGE_BYTES: usize = 4 * MOST_BODY;
+/// Maximum number of receipts kept in memory, which takes about 80 MB.
+const MAX_RECEIPTS: usize = 32_768;
+/// Attempts to post an asynchronous receipt. If all fail, it is posted again when the partner resends its message.
+const RECEIPT_POST_ATTEMPTS: usize = 3;
+/// Timeout of one attempt to post a receipt, in microseconds.
+const RECEIPT_POST_TIMEOUT_US: Micros = 5_000_000;
 
-/// Why a message or a receipt has no effect.
+/// Why a message or a receipt is rejected. Partners receive these texts.
 #[derive(Debug, thiserror::Error)]
 pub enum As2Error {
-    /// `AS2-From` or `AS2-To` names nobody that is configured for it.
+    /// `AS2-From` or `AS2-To` names no partner that is configured for this.
     #[error("unknown-partner: {0:?}")]
     UnknownPartner(String),
-    /// There is no signature.
+    /// The message is not signed.
     #[error("insufficient-message-security: not signed")]
     NotSigned,
-    /// The signature is not the partner's.
+    /// The signature was not made with the partner's certificate.
     #[error("authentication-failed: the signature is not the partner's")]
     BadSignature,
-    /// What was signed is not what came.
+    /// The content differs from the signed content.
     #[error("integrity-check-failed: the content differs from what was signed")]
     Integrity,
-    /// A receipt is for other content than was sent.
+    /// The receipt has the MIC (message integrity check) of other content than was sent.
     #[error("mic-mismatch: the receipt has {got:?}, sent was {sent:?}")]
     MicMismatch {
-        /// In the receipt.
+        /// MIC in the receipt.
         got: String,
-        /// Of what was sent.
+        /// MIC of the message sent.
         sent: String,
     },
-    /// A receipt says that the message was not processed.
+    /// The receipt reports that the message was not processed.
     #[error("not-processed: {0}")]
     NotProcessed(String),
-    /// It cannot be read.
+    /// The message or receipt cannot be parsed.
     #[error("malformed: {0}")]
     Malformed(&'static str),
-    /// The cryptography failed.
+    /// A cryptographic operation failed.
     #[error("cryptography: {0}")]
     Crypto(#[from] ErrorStack),
 }
 
-/// What becomes of the messages that a partner hands in.
+/// How messages that a partner submits are relayed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HandsIn {
-    /// Their class.
+pub struct Submissions {
+    /// Class of the messages.
     pub class: String,
-    /// Their tenant.
+    /// Tenant of the messages, if any.
     pub tenant: Option<String>,
-    /// Their destination.
+    /// Number of their destination.
     pub destination: i64,
-    /// They may be delivered for so long.
+    /// Time from acceptance to the deadline, in microseconds.
     pub deadline: Micros,
 }
 
-/// A partner.
+/// An AS2 partner.
 #[derive(Clone, Debug)]
 pub struct Partner {
-    /// Its AS2 name.
+    /// AS2 name of the partner.
     pub name: String,
-    /// Only signatures by this certificate are its.
+    /// The certificate that verifies the partner's signatures.
     pub certificate: X509,
-    /// Messages for this destination go to it ...
+    /// Destination whose messages are sent to this partner.
     pub destination: Option<i64>,
-    /// ... at this path of the endpoint ...
+    /// Path of the endpoint to which they are posted.
     pub path: String,
-    /// ... and ask for a receipt that comes later, by a call of the partner.
+    /// Whether they request an asynchronous receipt, which the partner posts on a connection of its own.
     pub asynchronous: bool,
-    /// What becomes of the messages that it hands in.
-    pub hands_in: Option<HandsIn>,
-    /// Where its receipts go if it asks for them asynchronously: address and path. No other place is called.
+    /// How messages that the partner submits are relayed; without this, it may not submit any.
+    pub submissions: Option<Submissions>,
+    /// Address and path to which asynchronous receipts for the partner are posted. Addresses in its messages are not used.
     pub receipt_to: Option<(Arc<str>, String)>,
 }
 
-/// Who this relay is, and whom it knows.
+/// The relay's own AS2 identity and its partners.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// The relay's AS2 name.
+    /// AS2 name of the relay.
     pub name: String,
-    /// Its key.
+    /// Private key of the relay.
     pub key: PKey<Private>,
-    /// Its certificate.
+    /// Certificate of the relay.
     pub certificate: X509,
-    /// Where partners post asynchronous receipts.
+    /// URL to which partners post asynchronous receipts.
     pub receipt_url: String,
-    /// Receipts are remembered for so long.
-    pub remember: Micros,
-    /// The partners.
+    /// Time for which receipts are kept, in microseconds.
+    pub receipt_retention: Micros,
+    /// All partners.
     pub partners: Vec<Partner>,
 }
 
-/// A call that waits for an asynchronous receipt.
-struct Waiting {
+/// A call that is waiting for an asynchronous receipt.
+struct PendingReceipt {
     partner: String,
     mic: String,
-    verdict: oneshot::Sender<Disposition>,
+    disposition: oneshot::Sender<Disposition>,
 }
 
-/// What is known of receipts. Invariant: a key in `busy` is in `given` only after the store holds it.
+/// State of receipts. Invariant: a key in `in_progress` is added to `sent` only after the store holds the receipt.
 #[derive(Default)]
-struct Books {
-    waiting: HashMap<String, Waiting>,
-    given: HashMap<String, Receipt>,
-    busy: HashSet<String>,
+struct ReceiptState {
+    /// Calls waiting for an asynchronous receipt, by `Message-ID`.
+    waiting: HashMap<String, PendingReceipt>,
+    /// Receipts sent to partners, by partner and `Message-ID`.
+    sent: HashMap<String, Receipt>,
+    /// Keys of messages that are being submitted to the runtime.
+    in_progress: HashSet<String>,
 }
 
-/// The front.
+/// The AS2 front.
 pub struct As2 {
     identity: Identity,
     clock: Clock,
     inputs: mpsc::Sender<Input>,
     connections: Connections,
-    books: Mutex<Books>,
+    receipt_state: Mutex<ReceiptState>,
 }
 
-/// Signed content and the headers it needs.
+/// A signed body and its `Content-Type`.
 pub struct Signed {
-    /// `Content-Type`.
+    /// Value of the `Content-Type` header.
     pub content_type: String,
-    /// The body.
+    /// The signed multipart body.
     pub body: Vec<u8>,
 }
 
@@ -155,8 +160,8 @@
     Ok(openssl::base64::encode_block(&hash(MessageDigest::sha256(), bytes)?))
 }
 
-/// The part that is signed, and over which the MIC is taken.
-fn content(body: &[u8]) -> Vec<u8> {
+/// The MIME part that is signed, and whose digest is the MIC.
+fn mime_part(body: &[u8]) -> Vec<u8> {
     let head = "Content-Type: application/octet-stream\r\nContent-Transfer-Encoding: binary\r\n\r\n";
     [head.as_bytes(), body].concat()
 }
@@ -166,10 +171,10 @@
     Ok(hex(digest.get(..16).unwrap_or(&digest)))
 }
 
-/// A MIME part, signed as multipart/signed.
+/// Signs a MIME part, as multipart/signed.
 ///
 /// # Errors
-/// Where the key cannot sign.
+/// If signing fails.
 pub fn sign(part: &[u8], key: &PKey<Private>, certificate: &X509) -> Result<Signed, ErrorStack> {
     let flags = Pkcs7Flags::DETACHED | Pkcs7Flags::BINARY;
     let none = Stack::new()?;
@@ -191,14 +196,14 @@
     Ok(Signed { content_type, body })
 }
 
-fn find(hay: &[u8], needle: &[u8], from: usize) -> Option<usize> {
-    hay.get(from..)?.windows(needle.len()).position(|window| window == needle).map(|at| at + from)
+fn find(haystack: &[u8], needle: &[u8], from: usize) -> Option<usize> {
+    haystack.get(from..)?.windows(needle.len()).position(|window| window == needle).map(|at| at + from)
 }
 
-/// The signed part, byte for byte, once its signature has proved to be by `certificate`.
+/// Verifies that a multipart/signed body was signed with `certificate`, and returns the signed part byte for byte.
 ///
 /// # Errors
-/// Named by what is wrong.
+/// If the body is not signed, is malformed, or the signature or the content does not match.
 pub fn verify(content_type: &str, body: &[u8], certificate: &X509) -> Result<Vec<u8>, As2Error> {
     let kind = mailparse::parse_content_type(content_type);
     if kind.mimetype != "multipart/signed" {
@@ -223,7 +228,7 @@
     let mut certificates = Stack::new()?;
     certificates.push(certificate.clone())?;
     let store = X509StoreBuilder::new()?.build();
-    // The partner's certificate is known beforehand: no chain, and none that the message brings counts.
+    // The partner's certificate is configured, so neither a chain nor the certificates in the message are considered.
     let flags = Pkcs7Flags::NOVERIFY | Pkcs7Flags::NOINTERN | Pkcs7Flags::BINARY;
     match signature.verify(&certificates, &store, Some(part), None, flags) {
         Ok(()) => Ok(part.to_vec()),
@@ -234,19 +239,19 @@
     }
 }
 
-/// What a receipt says.
+/// The content of a receipt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Disposition {
-    /// The `Message-ID` that it is for.
+    /// `Message-ID` of the message that it acknowledges.
     pub original: String,
-    /// Its `Received-Content-MIC`, without the name of the algorithm.
+    /// The `Received-Content-MIC`, without the name of the algorithm.
     pub mic: String,
-    /// What follows the semicolon of its `Disposition`.
+    /// The part of `Disposition` after the semicolon.
     pub disposition: String,
 }
 
 impl Disposition {
-    /// Reads the report in a verified part; `None` where it is no receipt.
+    /// Parses the report in a verified part; `None` if the part is not a receipt.
     pub fn read(part: &[u8]) -> Option<Self> {
         let mail = mailparse::parse_mail(part).ok()?;
         let wanted = "message/disposition-notification";
@@ -262,24 +267,24 @@
         })
     }
 
-    /// Whether it says that the message was processed.
+    /// Whether the receipt reports that the message was processed, possibly with a warning.
     fn positive(&self) -> bool {
         let (word, modifier) = self.disposition.split_once('/').unwrap_or((&self.disposition, ""));
         let fine = modifier.is_empty() || modifier.trim_start().starts_with("warning");
         word.trim() == "processed" && fine
     }
 
-    /// As evidence.
+    /// The receipt as evidence for the record.
     fn evidence(&self) -> Evidence {
         let Disposition { original, mic, disposition } = self.clone();
         Evidence::Receipt { message_id: original, mic, disposition }
     }
 
-    /// Whether it proves that what was sent was processed.
+    /// Checks that the receipt reports the message with this MIC as processed.
     ///
     /// # Errors
-    /// Named by what speaks against it.
-    pub fn proves(&self, mic: &str) -> Result<(), As2Error> {
+    /// If the message was not processed, or the MIC differs.
+    pub fn check_processed(&self, mic: &str) -> Result<(), As2Error> {
         if !self.positive() {
             return Err(As2Error::NotProcessed(self.disposition.clone()));
         }
@@ -290,11 +295,13 @@
     }
 }
 
-/// A report for a message, as a MIME part that is ready to be signed.
+/// Builds the disposition report for a message, as an unsigned MIME part.
 ///
 /// # Errors
-/// Where nothing can be hashed.
-pub fn report(by: &str, original: &str, mic: &str, disposition: &str) -> Result<Vec<u8>, ErrorStack> {
+/// If hashing fails.
+pub fn disposition_report(
+    by: &str, original: &str, mic: &str, disposition: &str,
+) -> Result<Vec<u8>, ErrorStack> {
     let boundary = boundary("report", original.as_bytes())?;
     Ok(format!(
         "Content-Type: multipart/report; report-type=disposition-notification; boundary=\"{boundary}\"\r\n\r\n\
@@ -308,8 +315,8 @@
     .into_bytes())
 }
 
-/// The headers that name both sides and the message.
-pub fn addressed(message: Message, from: &str, to: &str, id: &str) -> Message {
+/// Adds the AS2 headers that identify both sides and the message.
+pub fn with_as2_headers(message: Message, from: &str, to: &str, id: &str) -> Message {
     let name = |name: &str| if name.contains(' ') { format!("\"{name}\"") } else { name.to_string() };
     message
         .with("AS2-Version", "1.1")
@@ -319,73 +326,74 @@
         .with("Message-ID", id)
 }
 
-fn named(message: &Message, header: &str) -> String {
+fn as2_name(message: &Message, header: &str) -> String {
     message.header(header).unwrap_or_default().trim_matches('"').to_string()
 }
 
 impl Protocol for As2 {
     fn most_message(&self) -> usize {
-        MOST_MESSAGE
+        MAX_MESSAGE_BYTES
     }
 
-    /// Answers one request: a message handed in, or an asynchronous receipt.
+    /// Answers a request, which is a submitted message or an asynchronous receipt.
     fn answer<'a>(&'a self, request: &'a Message) -> Doing<'a, Message> {
-        Box::pin(self.answered(request))
+        Box::pin(self.respond(request))
     }
 
     fn serves(&self, destination: i64) -> bool {
-        self.partner_of(destination).is_some()
+        self.partner_for(destination).is_some()
     }
 
     fn attempt<'a>(&'a self, call: &'a OutboundCall, progress: &'a mut Progress) -> Doing<'a, Outcome> {
         Box::pin(async move {
-            match self.partner_of(call.exchange.destination) {
-                Some(partner) => self.call(call, partner, progress).await,
+            match self.partner_for(call.exchange.destination) {
+                Some(partner) => self.send(call, partner, progress).await,
                 None => Outcome::Skipped,
             }
         })
     }
 
-    /// The receipt that proves a message, where a partner serves its destination.
+    /// The receipt that proves delivery of a message, if its destination belongs to a partner.
     fn expected(&self, exchange: &Exchange) -> Option<Expected> {
-        let partner = self.partner_of(exchange.destination)?.name.clone();
-        Some(Expected { partner, mic: sha256(&content(&exchange.body)).ok()? })
+        let partner = self.partner_for(exchange.destination)?.name.clone();
+        Some(Expected { partner, mic: sha256(&mime_part(&exchange.body)).ok()? })
     }
 }
 
 impl As2 {
-    /// With the receipts that the store remembers.
+    /// Creates the front, with the receipts that were restored from the store.
     pub fn new(
         identity: Identity, clock: Clock, inputs: mpsc::Sender<Input>, connections: Connections,
         receipts: Vec<Receipt>,
     ) -> Self {
-        let given = receipts.into_iter().map(|receipt| (receipt.key.clone(), receipt)).collect();
-        let books = Mutex::new(Books { given, ..Books::default() });
-        As2 { identity, clock, inputs, connections, books }
+        let sent = receipts.into_iter().map(|receipt| (receipt.key.clone(), receipt)).collect();
+        let receipt_state = Mutex::new(ReceiptState { sent, ..ReceiptState::default() });
+        As2 { identity, clock, inputs, connections, receipt_state }
     }
 
-    fn books(&self) -> MutexGuard<'_, Books> {
-        self.books.lock().unwrap_or_else(PoisonError::into_inner)
+    fn receipt_state(&self) -> MutexGuard<'_, ReceiptState> {
+        self.receipt_state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The partner to whom messages for a destination go.
-    fn partner_of(&self, destination: i64) -> Option<&Partner> {
+    /// The partner to which messages for a destination are sent.
+    fn partner_for(&self, destination: i64) -> Option<&Partner> {
         self.identity.partners.iter().find(|partner| partner.destination == Some(destination))
     }
 
     // ---- calls to partners ----
 
-    /// One attempt: a signed message, and the receipt that proves it delivered. What is not proved may have run.
-    async fn call(&self, call: &OutboundCall, partner: &Partner, progress: &mut Progress) -> Outcome {
+    /// Makes one attempt: sends the signed message and waits for the receipt that proves its delivery. Without that proof the
+    /// message may still have been processed.
+    async fn send(&self, call: &OutboundCall, partner: &Partner, progress: &mut Progress) -> Outcome {
         let id = format!("<{}@{}>", call.exchange.id, self.identity.name);
-        let (request, mic) = match self.message(call, partner, &id) {
+        let (request, mic) = match self.build_request(call, partner, &id) {
             Ok(built) => built,
             Err(error) => {
                 warn!(message = call.exchange.id, "{id} cannot be signed: {error}");
                 return Outcome::ConnectFailed;
             }
         };
-        let waits = partner.asynchronous.then(|| self.wait(partner, &id, &mic));
+        let pending = partner.asynchronous.then(|| self.register_pending(partner, &id, &mic));
         let answer = match self
             .connections
             .ask(&(call.address.clone(), Some(call.target)), Some(call), || request, progress)
@@ -399,11 +407,11 @@
             Start::Response(429 | 503) => return Outcome::Full(full(&answer)),
             _ => return Outcome::Error,
         }
-        if let Some(mut waits) = waits {
-            // Nothing but a verified receipt ends this; the call's deadline ends the wait for it.
-            return match (&mut waits.verdict).await {
-                Ok(said) => {
-                    progress.receipt = Some(said.evidence());
+        if let Some(mut pending) = pending {
+            // Only a verified receipt completes the call; its deadline cancels the wait.
+            return match (&mut pending.disposition).await {
+                Ok(disposition) => {
+                    progress.receipt = Some(disposition.evidence());
                     Outcome::Ok
                 }
                 Err(_) => Outcome::TimedOut,
@@ -411,16 +419,16 @@
         }
         let content_type = answer.header("Content-Type").unwrap_or_default();
         let proof = verify(content_type, &answer.body, &partner.certificate).and_then(|part| {
-            let said = Disposition::read(&part).ok_or(As2Error::Malformed("no disposition"))?;
-            if said.original != id {
+            let disposition = Disposition::read(&part).ok_or(As2Error::Malformed("no disposition"))?;
+            if disposition.original != id {
                 return Err(As2Error::Malformed("a receipt for another message"));
             }
-            said.proves(&mic)?;
-            Ok(said)
+            disposition.check_processed(&mic)?;
+            Ok(disposition)
         });
         match proof {
-            Ok(said) => {
-                progress.receipt = Some(said.evidence());
+            Ok(disposition) => {
+                progress.receipt = Some(disposition.evidence());
                 Outcome::Ok
             }
             Err(error) => {
@@ -430,51 +438,52 @@
         }
     }
 
-    fn message(
+    fn build_request(
         &self, call: &OutboundCall, partner: &Partner, id: &str,
     ) -> Result<(Message, String), ErrorStack> {
-        let me = &self.identity;
-        let part = content(&call.exchange.body);
-        let signed = sign(&part, &me.key, &me.certificate)?;
+        let identity = &self.identity;
+        let part = mime_part(&call.exchange.body);
+        let signed = sign(&part, &identity.key, &identity.certificate)?;
         let request = Message::request("POST", &partner.path)
             .with("Host", &*call.address)
             .with_idempotency_key(call.exchange.idempotency_key.as_ref());
-        let mut request = addressed(request, &me.name, &partner.name, id)
-            .with("Disposition-Notification-To", &me.name)
+        let mut request = with_as2_headers(request, &identity.name, &partner.name, id)
+            .with("Disposition-Notification-To", &identity.name)
             .with(
                 "Disposition-Notification-Options",
                 "signed-receipt-protocol=required, pkcs7-signature; signed-receipt-micalg=required, sha-256",
             )
             .with("Content-Type", signed.content_type);
         if partner.asynchronous {
-            request = request.with("Receipt-Delivery-Option", &me.receipt_url);
+            request = request.with("Receipt-Delivery-Option", &identity.receipt_url);
         }
         request.body = signed.body.into();
         Ok((request, sha256(&part)?))
     }
 
-    fn wait(&self, partner: &Partner, id: &str, mic: &str) -> Waits<'_> {
-        let (verdict, verdict_comes) = oneshot::channel();
-        let waiting = Waiting { partner: partner.name.clone(), mic: mic.to_string(), verdict };
-        self.books().waiting.insert(id.to_string(), waiting);
-        Waits { front: self, id: id.to_string(), verdict: verdict_comes }
+    fn register_pending(&self, partner: &Partner, id: &str, mic: &str) -> PendingReceiptGuard<'_> {
+        let (disposition, receiver) = oneshot::channel();
+        let pending_receipt =
+            PendingReceipt { partner: partner.name.clone(), mic: mic.to_string(), disposition };
+        self.receipt_state().waiting.insert(id.to_string(), pending_receipt);
+        PendingReceiptGuard { front: self, id: id.to_string(), disposition: receiver }
     }
 
-    // ---- what partners post ----
+    // ---- requests from partners ----
 
-    async fn answered(&self, request: &Message) -> Message {
-        match self.take(request).await {
+    async fn respond(&self, request: &Message) -> Message {
+        match self.handle_request(request).await {
             Ok(answer) => answer,
             Err(error) => {
-                warn!("from {:?}: {error}", named(request, "AS2-From"));
+                warn!("rejected AS2 request from {:?}: {error}", as2_name(request, "AS2-From"));
                 let status = if matches!(error, As2Error::UnknownPartner(_)) { 403 } else { 400 };
                 Message::response(status, error.to_string())
             }
         }
     }
 
-    async fn take(&self, request: &Message) -> Result<Message, As2Error> {
-        let (from, to) = (named(request, "AS2-From"), named(request, "AS2-To"));
+    async fn handle_request(&self, request: &Message) -> Result<Message, As2Error> {
+        let (from, to) = (as2_name(request, "AS2-From"), as2_name(request, "AS2-To"));
         if to != self.identity.name {
             return Err(As2Error::UnknownPartner(to));
         }
@@ -484,23 +493,23 @@
         let content_type = request.header("Content-Type").unwrap_or_default();
         match verify(content_type, &request.body, &partner.certificate) {
             Ok(part) => match Disposition::read(&part) {
-                Some(said) => self.receipt_came(partner, &said, request.body.clone()).await,
-                None => self.handed_in(partner, id, &part, request).await,
+                Some(disposition) => self.handle_receipt(partner, &disposition, request.body.clone()).await,
+                None => self.handle_submission(partner, id, &part, request).await,
             },
-            // Who asks for a receipt hears the error in one, and it has no other effect.
+            // A partner that requested a receipt gets the error in a receipt; the message has no other effect.
             Err(error) if request.header("Disposition-Notification-To").is_some() => {
                 warn!(partner = partner.name, "{id}: {error}");
                 let name = error.to_string();
                 let name = name.split(':').next().unwrap_or_default();
                 let disposition = format!("processed/error: {name}");
-                let part = report(&self.identity.name, id, "", &disposition)?;
+                let part = disposition_report(&self.identity.name, id, "", &disposition)?;
                 self.response(partner, id, &self.signed_receipt(&part)?)
             }
             Err(error) => Err(error),
         }
     }
 
-    /// A receipt's bytes: its `Content-Type`, a line end, its body.
+    /// Signs a receipt. The result is its `Content-Type`, a line feed and its body.
     fn signed_receipt(&self, part: &[u8]) -> Result<Bytes, ErrorStack> {
         let signed = sign(part, &self.identity.key, &self.identity.certificate)?;
         Ok([signed.content_type.as_bytes(), b"\n", &signed.body].concat().into())
@@ -510,8 +519,8 @@
         let cut = find(receipt, b"\n", 0).unwrap_or(0);
         let content_type = String::from_utf8_lossy(receipt.get(..cut).unwrap_or_default()).into_owned();
         let id = format!("<receipt-{}", id.trim_start_matches('<'));
-        let mut message =
-            addressed(message, &self.identity.name, &partner.name, &id).with("Content-Type", content_type);
+        let mut message = with_as2_headers(message, &self.identity.name, &partner.name, &id)
+            .with("Content-Type", content_type);
         message.body = receipt.slice((cut + 1).min(receipt.len())..);
         message
     }
@@ -520,45 +529,46 @@
         Ok(self.with_receipt(Message::response(200, ""), partner, id, receipt))
     }
 
-    async fn handed_in(
+    async fn handle_submission(
         &self, partner: &Partner, id: &str, part: &[u8], request: &Message,
     ) -> Result<Message, As2Error> {
-        let hands_in = partner.hands_in.as_ref().ok_or(As2Error::UnknownPartner(partner.name.clone()))?;
+        let submissions =
+            partner.submissions.as_ref().ok_or(As2Error::UnknownPartner(partner.name.clone()))?;
         let key = format!("{}\n{id}", partner.name);
         {
-            let mut books = self.books();
-            if let Some(receipt) = books.given.get(&key).map(|receipt| receipt.bytes.clone()) {
-                drop(books);
-                return self.deliver(partner, id, &receipt, request);
+            let mut receipt_state = self.receipt_state();
+            if let Some(receipt) = receipt_state.sent.get(&key).map(|receipt| receipt.bytes.clone()) {
+                drop(receipt_state);
+                return self.deliver_receipt(partner, id, &receipt, request);
             }
-            // Forgetting one early could let a duplicate through, so that new messages wait for room instead.
-            if books.given.len() + books.busy.len() >= MOST_RECEIPTS {
+            // Dropping a receipt early could let a duplicate through, so new messages are refused until there is room.
+            if receipt_state.sent.len() + receipt_state.in_progress.len() >= MAX_RECEIPTS {
                 let why = "as many receipts remembered as may be";
                 return Ok(Message::response(503, why).with("Retry-After", "60"));
             }
-            // The same message is being taken on just now: its receipt is not stored yet.
-            if !books.busy.insert(key.clone()) {
+            // The same message is being submitted concurrently, and its receipt is not stored yet.
+            if !receipt_state.in_progress.insert(key.clone()) {
                 return Ok(Message::response(503, "being taken on").with("Retry-After", "1"));
             }
         }
-        let taken = self.hand_to_runtime(partner, hands_in, id, key.clone(), part).await;
-        let mut books = self.books();
-        books.busy.remove(&key);
+        let taken = self.submit_to_runtime(partner, submissions, id, key.clone(), part).await;
+        let mut receipt_state = self.receipt_state();
+        receipt_state.in_progress.remove(&key);
         match taken? {
             Err(refusal) => Ok(refusal),
             Ok(receipt) => {
                 let bytes = receipt.bytes.clone();
                 let now = self.clock.now();
-                books.given.retain(|_, receipt| receipt.until > now);
-                books.given.insert(key, receipt);
-                drop(books);
-                self.deliver(partner, id, &bytes, request)
+                receipt_state.sent.retain(|_, receipt| receipt.until > now);
+                receipt_state.sent.insert(key, receipt);
+                drop(receipt_state);
+                self.deliver_receipt(partner, id, &bytes, request)
             }
         }
     }
 
-    async fn hand_to_runtime(
-        &self, partner: &Partner, hands_in: &HandsIn, id: &str, key: String, part: &[u8],
+    async fn submit_to_runtime(
+        &self, partner: &Partner, submissions: &Submissions, id: &str, key: String, part: &[u8],
     ) -> Result<Result<Receipt, Message>, As2Error> {
         let mail = mailparse::parse_mail(part).map_err(|_| As2Error::Malformed("content"))?;
         let body = mail.get_body_raw().map_err(|_| As2Error::Malformed("content encoding"))?;
@@ -566,23 +576,23 @@
             return Ok(Err(Message::response(413, format!("the content is over {MOST_BODY} bytes"))));
         }
         let now = self.clock.now();
-        let report = report(&self.identity.name, id, &sha256(part)?, "processed")?;
-        let (bytes, until) = (self.signed_receipt(&report)?, now + self.identity.remember);
+        let report = disposition_report(&self.identity.name, id, &sha256(part)?, "processed")?;
+        let (bytes, until) = (self.signed_receipt(&report)?, now + self.identity.receipt_retention);
         let receipt = Receipt { key, at: now, until, bytes };
         let id = format!("as2-{}", boundary(&partner.name, id.as_bytes())?);
         let exchange = Exchange {
-            // The same Message-ID is the same message: what is made of it tells its repeats at the destination, too.
+            // Derived from the Message-ID, so that the destination also recognizes retries of the message.
             idempotency_key: id.parse().ok(),
             id,
-            class: hands_in.class.clone(),
-            tenant: hands_in.tenant.clone(),
-            due: now + hands_in.deadline,
-            destination: hands_in.destination,
+            class: submissions.class.clone(),
+            tenant: submissions.tenant.clone(),
+            due: now + submissions.deadline,
+            destination: submissions.destination,
             body: body.into(),
         };
         let (reply, answer) = oneshot::channel();
         let input = Input::Handed(Arc::new(exchange), Some(receipt.clone()), reply);
-        // In whole seconds, as partners read them.
+        // Retry-After in whole seconds, rounded up, as RFC 9110 defines it.
         let refusal = |why: &str, after: Option<Micros>| {
             let after = after.map_or(1, |after| (after.max(1) + 999_999) / 1_000_000);
             Message::response(503, why.to_string()).with("Retry-After", after.to_string())
@@ -599,8 +609,8 @@
         })
     }
 
-    /// Brings a receipt to who asked for one, in the way that it asked for.
-    fn deliver(
+    /// Delivers a receipt in the way that the message requested: none, in the response, or by a separate post.
+    fn deliver_receipt(
         &self, partner: &Partner, id: &str, receipt: &Bytes, request: &Message,
     ) -> Result<Message, As2Error> {
         if request.header("Disposition-Notification-To").is_none() {
@@ -609,7 +619,7 @@
         if request.header("Receipt-Delivery-Option").is_none() {
             return self.response(partner, id, receipt);
         }
-        // Guards against being sent to call whatever a message names.
+        // Only the configured address is called, because a message could name any (server-side request forgery).
         let Some((address, path)) = partner.receipt_to.clone() else {
             return Err(As2Error::Malformed("this partner has no receipt_to for asynchronous receipts"));
         };
@@ -617,8 +627,8 @@
         let post = self.with_receipt(post, partner, id, receipt);
         let (connections, clock, place) = (self.connections.clone(), self.clock, (address, None));
         tokio::spawn(async move {
-            for _ in 0..RECEIPT_POSTS {
-                let by = clock.instant(clock.now() + RECEIPT_POST);
+            for _ in 0..RECEIPT_POST_ATTEMPTS {
+                let by = clock.instant(clock.now() + RECEIPT_POST_TIMEOUT_US);
                 let mut progress = Progress::default();
                 let asked = connections.ask(&place, None, || post.clone(), &mut progress);
                 let asked = tokio::time::timeout_at(by, asked).await;
@@ -631,60 +641,66 @@
         Ok(Message::response(200, ""))
     }
 
-    /// A receipt that came by itself: it ends the call that waits for it, and is recorded in any case.
-    async fn receipt_came(
-        &self, partner: &Partner, said: &Disposition, bytes: Bytes,
+    /// Handles an asynchronous receipt: completes the call that waits for it, and records the receipt in any case.
+    async fn handle_receipt(
+        &self, partner: &Partner, disposition: &Disposition, bytes: Bytes,
     ) -> Result<Message, As2Error> {
         let ours = format!("@{}>", self.identity.name);
-        if !said.original.ends_with(&ours) {
+        if !disposition.original.ends_with(&ours) {
             return Err(As2Error::Malformed("a receipt for nobody's message"));
         }
-        let waiting = {
-            let mut books = self.books();
-            match books.waiting.get(&said.original).filter(|waiting| waiting.partner == partner.name) {
-                Some(waiting) => {
-                    said.proves(&waiting.mic)?;
-                    books.waiting.remove(&said.original)
+        let pending_receipt = {
+            let mut receipt_state = self.receipt_state();
+            match receipt_state
+                .waiting
+                .get(&disposition.original)
+                .filter(|pending_receipt| pending_receipt.partner == partner.name)
+            {
+                Some(pending_receipt) => {
+                    disposition.check_processed(&pending_receipt.mic)?;
+                    receipt_state.waiting.remove(&disposition.original)
                 }
                 None => None,
             }
         };
         let now = self.clock.now();
-        let late = match waiting.map(|waiting| waiting.verdict.send(said.clone())) {
+        let late = match pending_receipt
+            .map(|pending_receipt| pending_receipt.disposition.send(disposition.clone()))
+        {
             Some(Ok(())) => None,
-            // Its message's time is up, or it ended: what was answered stays, and the record tells what is known.
+            // The message has already ended. Its outcome stays, and the receipt is recorded as late evidence.
             _ => {
-                info!(partner = partner.name, "late receipt for {}", said.original);
-                let id = said.original.trim_start_matches('<').trim_end_matches(&ours).to_string();
-                let effect = if said.positive() { Effect::Took } else { Effect::InDoubt };
+                info!(partner = partner.name, "late receipt for {}", disposition.original);
+                let id = disposition.original.trim_start_matches('<').trim_end_matches(&ours).to_string();
+                let effect = if disposition.positive() { Effect::Took } else { Effect::InDoubt };
                 Some(Late {
                     id,
                     at: now,
                     kind: "receipt".into(),
                     source: partner.name.clone(),
                     effect,
-                    mic: Some(said.mic.clone()),
-                    detail: said.disposition.clone(),
+                    mic: Some(disposition.mic.clone()),
+                    detail: disposition.disposition.clone(),
                 })
             }
         };
-        let key = format!("{}\nreceipt for {}", partner.name, said.original);
-        let receipt = Receipt { key, at: now, until: now + self.identity.remember, bytes };
+        let key = format!("{}\nreceipt for {}", partner.name, disposition.original);
+        let receipt = Receipt { key, at: now, until: now + self.identity.receipt_retention, bytes };
         let _ = self.inputs.send(Input::Receipt(receipt, late)).await;
         Ok(Message::response(200, ""))
     }
 }
 
-/// A call's place among those that wait; it is given up with the call.
-struct Waits<'a> {
+/// Registration of a call that waits for a receipt, removed when the call is dropped.
+struct PendingReceiptGuard<'a> {
     front: &'a As2,
     id: String,
-    verdict: oneshot::Receiver<Disposition>,
+    disposition: oneshot::Receiver<Disposition>,
 }
 
-impl Drop for Waits<'_> {
+impl Drop for PendingReceiptGuard<'_> {
     fn drop(&mut self) {
-        // Invariant: one attempt of a message at a time, so that the place is this call's own.
-        self.front.books().waiting.remove(&self.id);
+        // Invariant: a message has one attempt at a time, so the entry belongs to this call.
+        self.front.receipt_state().waiting.remove(&self.id);
     }
 }
--- a/src/bin/tulipfall-drill.rs
+++ b/src/bin/tulipfall-drill.rs
@@ -1,4 +1,5 @@
-//! Hosts instances of the decision module on the simulator's wire: standard input to standard output.
+//! Runs instances of the decision module for the simulator: reads its text protocol from standard input, and writes the
+//! actions to standard output.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
@@ -7,60 +8,62 @@
 use tulipfall::rules::Relay;
 use tulipfall::wire::{self, Fields, Names, RawEntry, WireError};
 
+/// One instance of the decision module, with the names of its settings and messages.
 struct Instance {
     relay: Relay,
     names: Names,
 }
 
+/// All instances in this process, and the lists sent for them.
 #[derive(Default)]
 struct Host {
     now: Micros,
     instances: BTreeMap<u64, Instance>,
     lists: BTreeMap<u64, Vec<RawEntry>>,
-    /// Number of the list that the coming `ENTRY` lines belong to.
-    filling: u64,
+    /// Number of the list to which the next `ENTRY` lines belong.
+    current_list: u64,
     reply: String,
 }
 
 impl Host {
-    fn open(&mut self, who: u64, seed: u64, text: &str) {
-        let opened = wire::settings(text).map_err(|e| e.to_string()).and_then(|(settings, names)| {
+    fn open(&mut self, instance_id: u64, seed: u64, text: &str) {
+        let instance = wire::settings(text).map_err(|e| e.to_string()).and_then(|(settings, names)| {
             Relay::new(settings, seed).map(|relay| Instance { relay, names }).map_err(|e| e.to_string())
         });
-        match opened {
+        match instance {
             Ok(instance) => {
-                self.instances.insert(who, instance);
+                self.instances.insert(instance_id, instance);
             }
             Err(message) => {
-                eprintln!("tulipfall-drill: instance {who}: {message}");
-                self.reply.push_str(&format!("BROKEN {who} {message}\n"));
+                eprintln!("tulipfall-drill: instance {instance_id}: {message}");
+                self.reply.push_str(&format!("BROKEN {instance_id} {message}\n"));
             }
         }
     }
 
-    fn line(&mut self, text: &str) -> Result<(), WireError> {
+    fn handle_line(&mut self, text: &str) -> Result<(), WireError> {
         let mut fields = Fields::new(text);
         match fields.line() {
             "FRAME" => self.now = fields.number("clock")?,
             "LIST" => {
-                self.filling = fields.number("Buffer")?;
-                self.lists.insert(self.filling, Vec::new());
+                self.current_list = fields.number("Buffer")?;
+                self.lists.insert(self.current_list, Vec::new());
             }
             "ENTRY" => {
                 let entry = RawEntry::parse(&mut fields)?;
-                self.lists.entry(self.filling).or_default().push(entry);
+                self.lists.entry(self.current_list).or_default().push(entry);
             }
             "OPEN_INSTANCE" => {
-                let who = fields.number("Who")?;
+                let instance_id = fields.number("Who")?;
                 let seed = fields.number("InitSeed")?;
-                self.open(who, seed, text.splitn(4, ' ').nth(3).unwrap_or_default());
+                self.open(instance_id, seed, text.splitn(4, ' ').nth(3).unwrap_or_default());
             }
             "HALT" => {
                 self.instances.remove(&fields.number("Who")?);
             }
             other => {
-                let who = fields.number("Who")?;
-                let Some(instance) = self.instances.get_mut(&who) else { return Ok(()) };
+                let instance_id = fields.number("Who")?;
+                let Some(instance) = self.instances.get_mut(&instance_id) else { return Ok(()) };
                 let event = if other == "FLEET" {
                     let form = fields.text("Form")?;
                     let _version: Option<u64> = fields.maybe("SeqNo")?;
@@ -90,7 +93,7 @@
                     instance.relay.handle(self.now, event, &mut actions);
                 }
                 for action in &actions {
-                    instance.names.action(who, action, &mut self.reply);
+                    instance.names.action(instance_id, action, &mut self.reply);
                 }
             }
         }
@@ -115,7 +118,7 @@
             output.flush()?;
             host.reply.clear();
         } else if !line.is_empty()
-            && let Err(error) = host.line(line)
+            && let Err(error) = host.handle_line(line)
         {
             eprintln!("tulipfall-drill: {error}");
         }
--- a/src/command/configuration.rs
+++ b/src/command/configuration.rs
@@ -1,4 +1,4 @@
-//! What a running relay tells of the replicated destination set, over its control socket. Changes nothing.
+//! Shows the replicated destination set of a running relay, which it queries over the control socket. Read-only.
 
 use std::process::ExitCode;
 
@@ -7,10 +7,10 @@
 use super::Failure;
 use super::control::Socket;
 
-/// Shows the version that is in force on a relay, from whom it has it, and what it refused.
+/// Shows the version that is active on a relay, its upstreams and subscribers, and the updates that it refused.
 ///
 /// # Errors
-/// Where no relay answers, or it takes no destination set from control machines.
+/// If no relay answers, or it receives no destination set from control machines.
 pub fn show(socket: &Socket) -> Result<ExitCode, Failure> {
     let answer = socket.ask("show")?;
     let Some(configuration) = answer.get("configuration").filter(|part| part.is_object()) else {
@@ -50,10 +50,10 @@
     print_misplaced(field("misplaced"));
 }
 
-/// Names the machines whose list of machines is another than the relay's.
+/// Prints the machines whose list of machines differs from the relay's.
 fn print_misplaced(misplaced: &Value) {
-    let said = [("subscribers", "was refused as a subscriber"), ("upstreams", "refused this relay")];
-    for (key, what) in said {
+    let roles = [("subscribers", "was refused as a subscriber"), ("upstreams", "refused this relay")];
+    for (key, what) in roles {
         for (peer, count) in misplaced.get(key).and_then(Value::as_object).into_iter().flatten() {
             println!("machine {peer} {what} {} times: its list of machines is another one", text(count));
         }
--- a/src/command/control.rs
+++ b/src/command/control.rs
@@ -1,5 +1,4 @@
-//! The control socket of a running relay, as the command line reaches it. Owns how it is found, and one line asked and one
-//! line answered.
+//! A client of a running relay's control socket: sends one line and reads one line of JSON.
 
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::net::UnixStream;
@@ -11,16 +10,16 @@
 
 use super::Failure;
 
-/// Which relay is asked, and how its answer is shown.
+/// The relay to query, and the format of its answer.
 #[derive(Args)]
 pub struct Socket {
-    /// The operator's file of the relay; its peers.control names the socket
+    /// The relay's configuration file, whose peers.control names the socket
     #[arg(long, value_name = "FILE", required_unless_present = "socket")]
     config: Option<PathBuf>,
-    /// The control socket itself
+    /// Path of the control socket
     #[arg(long, value_name = "PATH")]
     socket: Option<PathBuf>,
-    /// The relay's answer as JSON, in place of words
+    /// Print the relay's answer as JSON
     #[arg(long)]
     pub json: bool,
 }
@@ -38,10 +37,10 @@
         }
     }
 
-    /// Asks the relay, and takes an error that it tells for one.
+    /// Sends one command to the relay and returns its answer.
     ///
     /// # Errors
-    /// Where no relay answers, or it tells an error.
+    /// If no relay answers, or its answer is an error.
     pub fn ask(&self, line: &str) -> Result<Value, Failure> {
         let path = self.path()?;
         let connected = UnixStream::connect(&path);
--- a/src/command/control_machine.rs
+++ b/src/command/control_machine.rs
@@ -1,7 +1,7 @@
-//! A client of control machines, at the addresses where they listen for operators: a JSON object a line, and one back.
+//! A client of the control machines' admin addresses. A request is one line of JSON, and so is its answer.
 //!
-//! Any machine may be asked: one that does not lead names the leader, and each attempt at a proposal bears the same id, so that
-//! the cluster takes it once.
+//! A request may go to any machine: a follower names the leader. All attempts at a proposal have the same id, so that the
+//! cluster applies it once.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,76 +11,76 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// For how long a connection is awaited.
-const CONNECT_PATIENCE: Duration = Duration::from_secs(2);
-/// For how long an answer is awaited; a control machine gives a proposal ten seconds.
-const ANSWER_PATIENCE: Duration = Duration::from_secs(12);
-/// For how long a proposal is tried.
-const PROPOSAL_PATIENCE: Duration = Duration::from_secs(30);
-/// Between two attempts, while a leader is elected.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Timeout for connecting.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout for an answer. It exceeds the ten seconds that a control machine allows for a proposal.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(12);
+/// Time after which a proposal is no longer retried.
+const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval between two attempts, while a leader is elected.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Why a control machine could not be asked, or said no.
+/// Why a request to a control machine failed, or was refused.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
     /// No address was given.
     #[error("which control machine? --control HOST:PORT")]
     NoAddress,
-    /// A machine does not answer.
+    /// A machine cannot be reached.
     #[error("{address}: no control machine answers: {source}")]
     Unreached {
-        /// Where it should listen for operators.
+        /// Admin address of the machine.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The answer is none.
+    /// The answer cannot be parsed.
     #[error("{address}: not an answer of a control machine: {source}")]
     Answer {
-        /// Who answered.
+        /// Address of the machine that answered.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         source: serde_json::Error,
     },
-    /// The answer is one to another question.
+    /// The answer is of another kind than the request.
     #[error("{0}: the answer does not fit the question")]
     OtherAnswer(SocketAddr),
-    /// The proposal changed nothing.
+    /// The cluster refused the proposal.
     #[error("refused: {0}")]
     Refused(String),
-    /// The request is none, or cannot be taken now.
+    /// The request is invalid, or cannot be accepted now.
     #[error("{address}: {reason}")]
     Error {
-        /// Who answered.
+        /// Address of the machine that answered.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         reason: String,
     },
-    /// Nobody leads.
+    /// There is no leader.
     #[error("{0}: no control machine leads now")]
     NoLeader(SocketAddr),
-    /// The machine does not know the outcome.
+    /// The machine does not know the outcome of the proposal.
     #[error("{address}: the outcome is not known: {reason}")]
     Unknown {
-        /// Who answered.
+        /// Address of the machine that answered.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         reason: String,
     },
     /// All attempts failed.
     #[error(
         "no outcome within {seconds} s, last: {last}; the same command with --id {id} asks again and changes nothing twice",
-        seconds = PROPOSAL_PATIENCE.as_secs()
+        seconds = PROPOSAL_TIMEOUT.as_secs()
     )]
     GivenUp {
         /// The last failure.
         last: Box<ControlError>,
-        /// The id of the proposal.
+        /// Id of the proposal.
         id: String,
     },
 }
 
-/// What a control machine answers.
+/// Answer of a control machine.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Reply {
@@ -92,10 +92,10 @@
     Status(Value),
 }
 
-/// Asks a machine how it is.
+/// Queries the status of a machine.
 ///
 /// # Errors
-/// It does not answer, or not to the question.
+/// If the machine does not answer, or with something other than its status.
 pub fn status(address: SocketAddr) -> Result<Value, ControlError> {
     match ask(address, &Value::from("status"))? {
         Reply::Status(status) => Ok(status),
@@ -104,12 +104,12 @@
     }
 }
 
-/// Proposes until the outcome is known: the version that the proposal led to. `request` bears the id.
+/// Sends a proposal until its outcome is known, and returns the version that it created. `request` contains `id`.
 ///
 /// # Errors
-/// The cluster refuses it, or no outcome is known in time.
+/// If the cluster refuses it, or no outcome is known before the timeout.
 pub fn propose(addresses: &[SocketAddr], id: &str, request: &Value) -> Result<Version, ControlError> {
-    let deadline = Instant::now() + PROPOSAL_PATIENCE;
+    let deadline = Instant::now() + PROPOSAL_TIMEOUT;
     let mut others = addresses.iter().copied().cycle();
     let mut address = others.next().ok_or(ControlError::NoAddress)?;
     loop {
@@ -124,17 +124,17 @@
         if Instant::now() >= deadline {
             return Err(ControlError::GivenUp { last: Box::new(failed), id: id.to_owned() });
         }
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(RETRY_INTERVAL);
         address = next.or_else(|| others.next()).ok_or(ControlError::NoAddress)?;
     }
 }
 
-/// What came of one attempt.
+/// Result of one attempt.
 enum Attempt {
     Published(Version),
-    /// Another machine leads.
+    /// Another machine is the leader.
     Elsewhere(SocketAddr),
-    /// It may be tried again.
+    /// The attempt failed and may be repeated.
     Failed(ControlError),
 }
 
@@ -161,9 +161,9 @@
 }
 
 fn exchange(address: SocketAddr, request: &Value) -> std::io::Result<String> {
-    let mut connection = TcpStream::connect_timeout(&address, CONNECT_PATIENCE)?;
-    connection.set_read_timeout(Some(ANSWER_PATIENCE))?;
-    connection.set_write_timeout(Some(ANSWER_PATIENCE))?;
+    let mut connection = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
+    connection.set_read_timeout(Some(ANSWER_TIMEOUT))?;
+    connection.set_write_timeout(Some(ANSWER_TIMEOUT))?;
     connection.write_all(format!("{request}\n").as_bytes())?;
     let mut answer = String::new();
     if BufReader::new(connection).read_line(&mut answer)? == 0 {
--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -1,4 +1,5 @@
-//! What the program does on the command line: runs a relay, and asks the record.
+//! The subcommands of the program: running a relay, querying and controlling a running one, publishing destinations, and
+//! working with the record.
 
 pub mod configuration;
 pub mod control;
@@ -12,5 +13,5 @@
 mod tasks;
 pub mod turns;
 
-/// Why it could not be done.
+/// Why a command failed.
 pub type Failure = Box<dyn std::error::Error>;
--- a/src/command/opening.rs
+++ b/src/command/opening.rs
@@ -1,5 +1,5 @@
-//! What a start needs of the system, tried again while the cause of an error may pass: event loop, signals, listening sockets,
-//! the state folder and the clock.
+//! Opens the system resources that a start needs: event loop, signal handlers, listening sockets, the state folder and the clock.
+//! Each is retried while the error may be transient.
 
 use std::net::SocketAddr;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -25,28 +25,28 @@
 
 use super::Failure;
 
-/// Time for which a process that ends before it served still answers what comes.
-const ANSWER_FOR: Micros = 500_000;
-/// What a client is told then.
+/// Time for which a process that stops before it served still answers requests, in microseconds.
+const ANSWER_PERIOD_US: Micros = 500_000;
+/// Answer to clients in that time.
 const STOPPING: &str = "the relay is about to end";
 
-/// The event loop.
+/// Creates the event loop.
 pub fn event_loop() -> std::io::Result<Runtime> {
     until_works_blocking("event loop", || {
         let build = || Builder::new_current_thread().enable_all().build();
-        // The handlers of signals are set up inside, which panics where no descriptor is to be had.
+        // Tokio registers its signal handling here, and panics when no file descriptor is available.
         catch_unwind(AssertUnwindSafe(build)).unwrap_or_else(|_| Err(nix::errno::Errno::EMFILE.into()))
     })
 }
 
-/// The signals that end the process.
+/// The signals that stop the process.
 pub struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl StopSignals {
-    /// Takes them over: until then they end the process at once.
+    /// Installs the handlers. Before this, the signals terminate the process at once.
     pub fn install() -> std::io::Result<Self> {
         Ok(StopSignals {
             terminate: signal(SignalKind::terminate())?,
@@ -54,7 +54,7 @@
         })
     }
 
-    /// Waits for one of them.
+    /// Waits for one of the signals.
     pub async fn stop(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
@@ -63,81 +63,80 @@
     }
 }
 
-/// The relay's clock, and what keeps it for later processes.
+/// Creates the relay's clock, and the anchor that lets later processes continue it.
 pub async fn clock(
-    state: &Path, relay: &str, standing: &ProcessStatus,
+    state: &Path, relay: &str, status: &ProcessStatus,
 ) -> Result<(Clock, Option<ClockAnchor>), Failure> {
     let folder = state.display();
-    let earlier = until_works("clock", standing, async || ClockAnchor::read(state)).await;
-    let earlier = earlier.map_err(|error| format!("{folder}: {error}"))?;
-    if let Some(other) = earlier.as_ref().map(ClockAnchor::relay).filter(|other| *other != relay) {
+    let saved = until_works("clock", status, async || ClockAnchor::read(state)).await;
+    let saved = saved.map_err(|error| format!("{folder}: {error}"))?;
+    if let Some(other) = saved.as_ref().map(ClockAnchor::relay).filter(|other| *other != relay) {
         return Err(
             format!("{folder}: belongs to the relay {other:?}; give {relay:?} a folder of its own").into()
         );
     }
-    let goes_on = earlier.is_some();
-    let (clock, anchor) = ClockAnchor::resume(relay, earlier)?;
+    let resumed = saved.is_some();
+    let (clock, anchor) = ClockAnchor::resume(relay, saved)?;
     debug!(
-        goes_on,
+        goes_on = resumed,
         ahead_us = clock.now() - Clock::start().now(),
-        "the clock, and how far it is ahead of the wall clock"
+        "clock started, with its lead over the wall clock"
     );
     Ok((clock, anchor))
 }
 
-/// A socket on which clients or partners connect.
-pub async fn listen(address: SocketAddr, standing: &ProcessStatus) -> Result<TcpListener, Failure> {
+/// Binds a socket on which clients or partners connect.
+pub async fn listen(address: SocketAddr, status: &ProcessStatus) -> Result<TcpListener, Failure> {
     let what = format!("listen {address}");
     let bind = async || {
         let listener = TcpListener::bind(address).await?;
         let bound = listener.local_addr()?;
         Ok::<_, std::io::Error>((listener, bound))
     };
-    let bound = until_works(&what, standing, bind).await;
+    let bound = until_works(&what, status, bind).await;
     let (listener, bound) = bound.map_err(|error| format!("{what}: {error}"))?;
-    // Told, as port 0 lets the system choose one.
+    // Logged because with port 0 the system chooses the port.
     info!("listening on {bound}");
     Ok(listener)
 }
 
-/// The state folder, once it is this process's, with the journal in it.
+/// The state folder, owned by this process, and the journal in it.
 pub struct OpenState {
     pub owner: Owner,
     pub journal: Journal,
     pub handed_over: Option<(Box<tulipfall::handed::HandoverState>, tulipfall::handover::link::Link)>,
 }
 
-/// Takes the state folder and opens the journal; `from_other` where a process that still runs may hand over.
+/// Acquires the state folder and opens the journal. With `from_other`, a process that still runs may hand over its state.
 pub async fn open_state(
-    config: &Config, from_other: bool, (clock, anchor): (Clock, Option<&ClockAnchor>),
-    standing: &ProcessStatus,
+    config: &Config, from_other: bool, (clock, anchor): (Clock, Option<&ClockAnchor>), status: &ProcessStatus,
 ) -> Result<OpenState, Failure> {
     let folder = config.state.display();
     let Takeover { owner, handed_over } = if from_other {
-        take_over(&config.state, &config.name, clock, standing).await?
+        take_over(&config.state, &config.name, clock, status).await?
     } else {
-        let owner = until_works("state folder", standing, async || own(&config.state)).await;
+        let owner = until_works("state folder", status, async || own(&config.state)).await;
         let owner = owner.map_err(|error| format!("{folder}: {error}"))?;
         let other = || format!("{folder}: another process uses this state folder");
         Takeover { owner: owner.ok_or_else(other)?, handed_over: None }
     };
     if let Some(anchor) = anchor {
-        let kept = until_works("clock", standing, async || anchor.write(&config.state)).await;
+        let kept = until_works("clock", status, async || anchor.write(&config.state)).await;
         kept.map_err(|error| format!("{folder}: {error}"))?;
     }
     let open = async || Journal::open(&config.state, config.journal_room());
-    let (journal, _) = until_works("journal", standing, open).await?;
+    let (journal, _) = until_works("journal", status, open).await?;
     Ok(OpenState { owner, journal, handed_over })
 }
 
-/// Ends a process that was told to before it served: what clients handed in meanwhile is refused, so that no request that
-/// was read stays without an answer.
+/// Stops a process before it has served. Messages that clients have submitted are refused, so that every request that was read
+/// gets an answer.
 pub async fn end_unserved(
-    clock: Clock, standing: &ProcessStatus, mut inputs: mpsc::Receiver<Input>, front: Arc<Inbound>,
+    clock: Clock, status: &ProcessStatus, mut inputs: mpsc::Receiver<Input>, front: Arc<Inbound>,
 ) {
-    standing.enter(Phase::Stopping);
-    info!("stopping before it served");
-    let by = clock.instant(clock.now() + ANSWER_FOR);
+    status.enter(Phase::Stopping);
+    info!("stopping before serving");
+    let by = clock.instant(clock.now() + ANSWER_PERIOD_US);
     let refuse = async {
         while let Some(input) = inputs.recv().await {
             if let Input::Handed(_, _, reply) = input {
@@ -146,7 +145,7 @@
         }
     };
     let _ = tokio::time::timeout_at(by, refuse).await;
-    // Whoever still waits is refused as its input is dropped.
+    // Dropping the remaining inputs refuses their requests.
     drop(inputs);
-    front.answered(clock.now() + ANSWER_FOR).await;
+    front.answered(clock.now() + ANSWER_PERIOD_US).await;
 }
--- a/src/command/peers.rs
+++ b/src/command/peers.rs
@@ -1,4 +1,5 @@
-//! What a running relay says of its peers, of destinations and of the shares of their limits, over its control socket. It changes nothing.
+//! Shows a running relay's view of its peers, of destinations and of shared limits, which it queries over the control socket.
+//! Read-only.
 
 use std::process::ExitCode;
 
@@ -8,17 +9,17 @@
 use super::Failure;
 use super::control::Socket;
 
-/// How it is shown.
+/// Subcommands that show a part of the relay's state.
 #[derive(Subcommand)]
 pub enum Show {
-    /// Asks the relay and shows its answer
+    /// Queries the relay and shows its answer
     Show(Socket),
 }
 
-/// Asks a relay; shows the part of its answer that is meant.
+/// Queries a relay and shows one part of its answer.
 ///
 /// # Errors
-/// Where no relay answers.
+/// If no relay answers.
 pub fn show(socket: &Socket, part: &str) -> Result<ExitCode, Failure> {
     let all = socket.ask("show")?;
     if socket.json {
--- a/src/command/publishing.rs
+++ b/src/command/publishing.rs
@@ -1,4 +1,4 @@
-//! Commands that change the destination set at the control machines, and show how these are.
+//! Commands that change the destination set at the control machines, and show the machines' status.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -12,31 +12,31 @@
 use super::Failure;
 use super::control_machine::{ControlError, propose, status};
 
-/// From one look at the control machines to the next.
-const LOOK: Duration = Duration::from_secs(1);
-/// Bytes of the id of a proposal.
+/// Interval between two status queries.
+const STATUS_INTERVAL: Duration = Duration::from_secs(1);
+/// Length of a proposal's id, in bytes.
 const ID_BYTES: usize = 16;
 
-/// Which control machines are asked.
+/// The control machines to use.
 #[derive(Args)]
 pub struct Machines {
-    /// Where a control machine listens for operators (configuration.control.admin), more than once for others to fall back on
+    /// Admin address of a control machine (configuration.control.admin); may be repeated to name fallbacks
     #[arg(long = "control", value_name = "HOST:PORT", required = true)]
     addresses: Vec<SocketAddr>,
-    /// The answer as JSON, in place of words
+    /// Print the answer as JSON
     #[arg(long)]
     json: bool,
 }
 
-/// How a proposal is named.
+/// The id of a proposal.
 #[derive(Args)]
-pub struct Named {
-    /// The id of an earlier attempt whose outcome was not known, 32 hex digits
+pub struct ProposalId {
+    /// Id of an earlier attempt whose outcome is unknown, as 32 hex digits
     #[arg(long, value_parser = parse_id)]
     id: Option<String>,
 }
 
-/// Why operations cannot be read.
+/// Why a file of operations cannot be read.
 #[derive(Debug, thiserror::Error)]
 enum OperationsError {
     #[error("{}: {source}", .file.display())]
@@ -50,34 +50,32 @@
 /// Publishes the operations of a file as one change.
 ///
 /// # Errors
-/// The file is none, the cluster refuses the change, or no outcome is known in time.
-pub fn publish(machines: &Machines, named: &Named, file: &Path) -> Result<ExitCode, Failure> {
+/// If the file cannot be read, the cluster refuses the change, or no outcome is known before the timeout.
+pub fn publish(machines: &Machines, proposal_id: &ProposalId, file: &Path) -> Result<ExitCode, Failure> {
     let operations = read_operations(file)?;
-    let id = named.id()?;
+    let id = proposal_id.id()?;
     let request = json!({"publish": {"id": id, "operations": operations}});
     change(machines, &id, &request)
 }
 
-/// Undoes all changes after that number, as one change of its own.
+/// Reverts all changes after the change with the number `to`, by publishing one new change.
 ///
 /// # Errors
-/// The cluster refuses it, or no outcome is known in time.
-pub fn roll_back(machines: &Machines, named: &Named, to: u64) -> Result<ExitCode, Failure> {
-    let id = named.id()?;
+/// If the cluster refuses it, or no outcome is known before the timeout.
+pub fn roll_back(machines: &Machines, proposal_id: &ProposalId, to: u64) -> Result<ExitCode, Failure> {
+    let id = proposal_id.id()?;
     change(machines, &id, &json!({"rollback": {"id": id, "to": to}}))
 }
 
-/// Shows how each control machine is, once or each second until it is stopped.
-///
-/// # Errors
-/// With `once`, if one of them does not answer.
+/// Shows the status of each control machine: once, or every second until interrupted. With `once`, the exit status is a
+/// failure if a machine does not answer.
 pub fn watch(machines: &Machines, once: bool) -> Result<ExitCode, Failure> {
     loop {
         let mut all_answer = true;
         for address in &machines.addresses {
             match status(*address) {
                 Ok(status) if machines.json => println!("{status}"),
-                Ok(status) => println!("{}", line(*address, &status)),
+                Ok(status) => println!("{}", status_line(*address, &status)),
                 Err(error) => {
                     all_answer = false;
                     eprintln!("{error}");
@@ -87,7 +85,7 @@
         if once {
             return Ok(if all_answer { ExitCode::SUCCESS } else { ExitCode::FAILURE });
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(STATUS_INTERVAL);
     }
 }
 
@@ -113,8 +111,8 @@
     Ok(operations)
 }
 
-impl Named {
-    /// The given id, or one that no other proposal has.
+impl ProposalId {
+    /// The given id, or a new random one.
     fn id(&self) -> Result<String, Failure> {
         if let Some(id) = &self.id {
             return Ok(id.clone());
@@ -130,8 +128,8 @@
     if sound { Ok(text.to_owned()) } else { Err(format!("expected {} hex digits", 2 * ID_BYTES)) }
 }
 
-/// One line of what matters of a machine's status.
-fn line(address: SocketAddr, status: &Value) -> String {
+/// Formats a machine's status as one line.
+fn status_line(address: SocketAddr, status: &Value) -> String {
     let field = |key: &str| status.get(key).unwrap_or(&Value::Null);
     let number = |value: &Value| value.as_u64().map_or("-".to_owned(), |number| number.to_string());
     let part = |key: &str| number(field("version").get(key).unwrap_or(&Value::Null));
--- a/src/command/record.rs
+++ b/src/command/record.rs
@@ -1,6 +1,5 @@
-//! The record on the command line: questions, checks, a partner's statement held against it, and what an
-//! operator does when it is full, damaged or in doubt. Owns how answers are shown. Only what says so changes
-//! anything.
+//! The `record` subcommands: querying and checking the record, reconciling it with a partner's statement, and repairing it when
+//! it is full or damaged. Only reconcile with --settle, prune, migrate, quarantine with --replay and set-aside change anything.
 
 use std::io::{BufWriter, IsTerminal, Write};
 use std::path::{Path, PathBuf};
@@ -20,23 +19,23 @@
 
 use super::Failure;
 
-/// It was done, and something was found that wants a look.
-const FOUND: u8 = 3;
-/// A question may take so long.
-const ASK_WITHIN: Duration = Duration::from_secs(60);
+/// Exit status if the command succeeded and found something that needs attention.
+const EXIT_FOUND: u8 = 3;
+/// Timeout of a query.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(60);
 /// Rows read at once.
-const PAGE: usize = 1000;
+const PAGE_ROWS: usize = 1000;
 
-/// Where the record is.
+/// Location of the record.
 #[derive(Args)]
-pub struct Place {
-    /// The operator's file of the relay whose record it is
+pub struct RecordLocation {
+    /// Configuration file of the relay to which the record belongs
     #[arg(long, value_name = "FILE", conflicts_with_all = ["sqlite", "url"])]
     config: Option<PathBuf>,
-    /// An SQLite file
+    /// SQLite file of the record
     #[arg(long, value_name = "FILE")]
     sqlite: Option<PathBuf>,
-    /// A PostgreSQL server, such as postgres://user@host/name; TULIPFALL_POSTGRES_PASSWORD may hold the password
+    /// PostgreSQL server, such as postgres://user@host/name; the password can be set in TULIPFALL_POSTGRES_PASSWORD
     #[arg(
         long,
         value_name = "URL",
@@ -47,158 +46,158 @@
     url: Option<String>,
 }
 
-/// Which messages are meant.
+/// Selects messages.
 #[derive(Args)]
-pub struct Which {
-    /// Of this class
+pub struct MessageFilter {
+    /// Only this class
     #[arg(long)]
     class: Option<String>,
-    /// Of this tenant
+    /// Only this tenant
     #[arg(long)]
     tenant: Option<String>,
-    /// For the destination of this number
+    /// Only the destination with this number
     #[arg(long, value_name = "NUMBER", allow_negative_numbers = true)]
     destination: Option<i64>,
-    /// How it ended
+    /// Only this outcome
     #[arg(long, value_parser = ["delivered", "refused", "failed", "withdrawn"])]
     outcome: Option<String>,
-    /// What is known of its effect at the partner
+    /// Only this effect at the partner
     #[arg(long, value_parser = ["took", "never", "in_doubt"])]
     effect: Option<String>,
-    /// Recorded first by this relay
+    /// Only messages recorded first by this relay
     #[arg(long)]
     relay: Option<String>,
-    /// Ended then or later: 2026-12-01, 2026-12-01T06:30:00Z, or Unix microseconds
-    #[arg(long, value_name = "TIME", value_parser = moment)]
+    /// Ended at or after this time: 2026-12-01, 2026-12-01T06:30:00Z, or Unix microseconds
+    #[arg(long, value_name = "TIME", value_parser = parse_time)]
     since: Option<Micros>,
-    /// Ended before then
-    #[arg(long, value_name = "TIME", value_parser = moment)]
+    /// Ended before this time
+    #[arg(long, value_name = "TIME", value_parser = parse_time)]
     until: Option<Micros>,
 }
 
-/// How rows are shown.
+/// Output format of rows.
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// A table to read
+    /// A human-readable table
     Table,
     /// CSV with a header; times in Unix microseconds
     Csv,
-    /// A JSON object a line; times in Unix microseconds
+    /// One JSON object per line; times in Unix microseconds
     Json,
 }
 
-/// What is done with the record.
+/// The `record` subcommands.
 #[derive(Subcommand)]
 pub enum RecordCommand {
-    /// Lists messages in the order of their ends, a page at a time
+    /// Lists messages in the order in which they ended, one page at a time
     #[command(after_help = "Was anything charged to destination 7 on that day whose effect is unknown?\n  \
 tulipfall record query --config desk.toml --class paid-extra --destination 7 --effect in_doubt \\\n    \
 --since 2026-12-01 --until 2026-12-02")]
     Query {
         #[command(flatten)]
-        place: Place,
+        location: RecordLocation,
         #[command(flatten)]
-        which: Which,
-        /// Rows on a page
+        filter_args: MessageFilter,
+        /// Rows per page
         #[arg(long, default_value_t = 50, value_name = "ROWS")]
         limit: usize,
-        /// The page after this place, as the page before told it
-        #[arg(long, value_name = "PLACE", value_parser = place_after)]
+        /// Continue after this position, which the previous page printed
+        #[arg(long, value_name = "PLACE", value_parser = parse_position)]
         after: Option<(Micros, String)>,
-        /// Only how many there are, by outcome and effect
+        /// Show only counts, by outcome and effect
         #[arg(long)]
         count: bool,
-        /// How rows are shown
+        /// Output format
         #[arg(long, default_value = "table")]
         format: Format,
     },
-    /// Shows one message whole: its end, its attempts, and what came to light after that
+    /// Shows one message in full: its outcome, its attempts, and evidence received later
     Show {
         #[command(flatten)]
-        place: Place,
-        /// Its id
+        location: RecordLocation,
+        /// Id of the message
         id: String,
-        /// As one JSON object
+        /// Print one JSON object
         #[arg(long)]
         json: bool,
     },
-    /// Checks every invariant, and whether an SQLite file is whole; exit status 3 where one is broken
+    /// Checks every invariant, and the integrity of an SQLite file; exit status 3 if an invariant is violated
     Verify {
         #[command(flatten)]
-        place: Place,
-        /// Messages named for each invariant
+        location: RecordLocation,
+        /// Maximum number of messages listed for each invariant
         #[arg(long, default_value_t = 20)]
         most: usize,
-        /// As one JSON object
+        /// Print one JSON object
         #[arg(long)]
         json: bool,
     },
-    /// Holds a partner's statement against the record; exit status 3 where they differ
+    /// Reconciles the record with a partner's statement; exit status 3 if they differ
     #[command(
         after_help = "The statement is CSV with a header; its column \"message\" holds the ids. --since, \
---until and\n--destination say which part of the record it is about. --settle writes what it settles."
+--until and\n--destination select the part of the record that it covers. --settle writes the settled outcomes."
     )]
     Reconcile {
         #[command(flatten)]
-        place: Place,
+        location: RecordLocation,
         #[command(flatten)]
-        which: Which,
-        /// The statement
+        filter_args: MessageFilter,
+        /// The partner's statement
         #[arg(long, value_name = "FILE.csv")]
         statement: PathBuf,
-        /// Doubts about what the statement names are settled: it took effect
+        /// Settle messages in doubt that the statement lists: they took effect
         #[arg(long)]
         settle: bool,
-        /// The statement is complete: doubts about what it does not name are settled too, it never ran
+        /// The statement is complete: also settle messages in doubt that it does not list: they never ran
         #[arg(long, requires = "settle")]
         complete: bool,
-        /// As one JSON object
+        /// Print one JSON object
         #[arg(long)]
         json: bool,
     },
-    /// Writes all messages that are meant to a file
+    /// Writes all selected messages to a file
     Export {
         #[command(flatten)]
-        place: Place,
+        location: RecordLocation,
         #[command(flatten)]
-        which: Which,
-        /// The file, which must not be there; standard output without it
+        filter_args: MessageFilter,
+        /// The file, which must not exist yet [default: standard output]
         #[arg(long, value_name = "FILE")]
         out: Option<PathBuf>,
-        /// How rows are written
+        /// Output format
         #[arg(long, default_value = "json")]
         format: Format,
     },
     /// Removes messages that ended before a time, with their attempts; those in doubt stay
     Prune {
         #[command(flatten)]
-        place: Place,
-        /// The time
-        #[arg(long, value_name = "TIME", value_parser = moment)]
+        location: RecordLocation,
+        /// Messages that ended before this time are removed
+        #[arg(long, value_name = "TIME", value_parser = parse_time)]
         before: Micros,
     },
-    /// Brings the schema up to date; a relay does so at its start
+    /// Migrates the schema to the current version, as a relay does at its start
     Migrate {
         #[command(flatten)]
-        place: Place,
+        location: RecordLocation,
     },
-    /// Lists what the database refused, or tries to write it again
+    /// Lists entries that the database refused, or retries them
     Quarantine {
         #[command(flatten)]
-        place: Place,
-        /// Tries to write it again; what is refused again stays
+        location: RecordLocation,
+        /// Retry the entries; those refused again stay in quarantine
         #[arg(long)]
         replay: bool,
     },
-    /// Renames a damaged SQLite file, so that the relay begins a new one; nothing is deleted
+    /// Renames a damaged SQLite file, so that the relay creates a new one; nothing is deleted
     SetAside {
         #[command(flatten)]
-        place: Place,
+        location: RecordLocation,
     },
 }
 
-/// A time as an operator writes it.
-fn moment(text: &str) -> Result<Micros, String> {
+/// Parses a time given as a date, as RFC 3339 or in Unix microseconds.
+fn parse_time(text: &str) -> Result<Micros, String> {
     if let Ok(number) = text.parse::<Micros>() {
         return Ok(number);
     }
@@ -208,7 +207,8 @@
     Micros::try_from(parsed.unix_timestamp_nanos() / 1000).map_err(|error| error.to_string())
 }
 
-fn shown(at: Micros) -> String {
+/// Formats a time in Unix microseconds as RFC 3339, in milliseconds.
+fn format_time(at: Micros) -> String {
     let moment = OffsetDateTime::from_unix_timestamp_nanos(i128::from(at) * 1000);
     let millis = moment
         .ok()
@@ -216,26 +216,31 @@
     millis.and_then(|moment| moment.format(&Rfc3339).ok()).unwrap_or_else(|| at.to_string())
 }
 
-fn place_after(text: &str) -> Result<(Micros, String), String> {
-    let (at, id) = text.split_once('/').ok_or("expected a place as the page before told it: TIME/ID")?;
-    Ok((at.parse().map_err(|_| "expected a place as the page before told it: TIME/ID")?, id.to_string()))
+/// Parses a position of the form TIME/ID.
+fn parse_position(text: &str) -> Result<(Micros, String), String> {
+    let (at, id) =
+        text.split_once('/').ok_or("expected a position as printed by the previous page: TIME/ID")?;
+    Ok((
+        at.parse().map_err(|_| "expected a position as printed by the previous page: TIME/ID")?,
+        id.to_string(),
+    ))
 }
 
-impl Which {
+impl MessageFilter {
     fn filter(self, after: Option<(Micros, String)>) -> Filter {
-        let Which { class, tenant, destination, outcome, effect, relay, since, until } = self;
+        let MessageFilter { class, tenant, destination, outcome, effect, relay, since, until } = self;
         Filter { class, tenant, destination, outcome, effect, relay, since, until, after }
     }
 }
 
-impl Place {
+impl RecordLocation {
     fn target(self) -> Result<Target, Failure> {
         let environment = |variable: &str| std::env::var(variable).ok();
         if let Some(file) = self.config {
             let config = Config::load_file(&file, environment)?;
             let record =
                 config.record.ok_or_else(|| format!("{}: store.kind: has no record", file.display()))?;
-            // The room is the relay's to keep.
+            // Only the relay enforces the size limit.
             return Ok(match record.target {
                 Target::Sqlite { file, .. } => Target::Sqlite { file, most_bytes: None },
                 server => server,
@@ -249,65 +254,71 @@
         Ok(Target::Postgres(Box::new(server.map_err(|why| format!("--url: {why}"))?)))
     }
 
-    /// For questions: nothing is made that is not there.
-    async fn ask(self) -> Result<Connection, Failure> {
+    /// Opens a connection for queries. It never creates a record.
+    async fn connect(self) -> Result<Connection, Failure> {
         let target = self.target()?;
         if let Target::Sqlite { file, .. } = &target
             && !file.exists()
         {
-            return Err(format!("{}: there is no record", file.display()).into());
+            return Err(format!("{}: the record does not exist", file.display()).into());
         }
-        let mut connection = Connection::open(&target, Instant::now() + ASK_WITHIN).await?;
-        connection.until(Instant::now() + ASK_WITHIN);
+        let mut connection = Connection::open(&target, Instant::now() + QUERY_TIMEOUT).await?;
+        connection.until(Instant::now() + QUERY_TIMEOUT);
         let (found, newest) = (connection.schema_version().await?, Connection::newest_version());
         match found {
-            0 => Err(format!("{target}: holds no record yet; a relay, or record migrate, begins one").into()),
+            0 => {
+                Err(format!("{target}: has no record yet; start a relay or run record migrate to create it")
+                    .into())
+            }
             found if found > newest => {
-                let why = "this program knows version";
+                let why = "this program supports up to version";
                 Err(format!("{target}: has version {found} of the schema, {why} {newest}").into())
             }
             _ => Ok(connection),
         }
     }
 
+    /// Opens an existing record for writing.
     async fn open(self) -> Result<Record, Failure> {
         let target = self.target()?;
         if let Target::Sqlite { file, .. } = &target
             && !file.exists()
         {
-            return Err(format!("{}: there is no record", file.display()).into());
+            return Err(format!("{}: the record does not exist", file.display()).into());
         }
         Ok(Record::open(&target, "operator").await?)
     }
 }
 
-/// Carries a command out; tells what it found by the exit status.
+/// Runs a subcommand. The exit status tells whether it found something that needs attention.
 ///
 /// # Errors
-/// Where it could not be done.
-pub fn carry_out(command: RecordCommand) -> Result<ExitCode, Failure> {
+/// If the subcommand failed.
+pub fn run(command: RecordCommand) -> Result<ExitCode, Failure> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    match runtime.block_on(act(command)) {
-        // Who reads no further has seen enough.
-        Err(error) if error.downcast_ref::<std::io::Error>().is_some_and(broken) => Ok(ExitCode::SUCCESS),
+    match runtime.block_on(execute(command)) {
+        // The reader closed the pipe, such as head(1), which is not a failure.
+        Err(error) if error.downcast_ref::<std::io::Error>().is_some_and(is_broken_pipe) => {
+            Ok(ExitCode::SUCCESS)
+        }
         other => other,
     }
 }
 
-fn broken(error: &std::io::Error) -> bool {
+fn is_broken_pipe(error: &std::io::Error) -> bool {
     error.kind() == std::io::ErrorKind::BrokenPipe
 }
 
-fn code(found: bool) -> ExitCode {
-    if found { ExitCode::from(FOUND) } else { ExitCode::SUCCESS }
+fn exit_code(found: bool) -> ExitCode {
+    if found { ExitCode::from(EXIT_FOUND) } else { ExitCode::SUCCESS }
 }
 
-async fn act(command: RecordCommand) -> Result<ExitCode, Failure> {
+async fn execute(command: RecordCommand) -> Result<ExitCode, Failure> {
     let mut out = BufWriter::new(std::io::stdout().lock());
     let found = match command {
-        RecordCommand::Query { place, which, limit, after, count, format } => {
-            let mut connection = place.ask().await?;
-            let filter = which.filter(after);
+        RecordCommand::Query { location, filter_args, limit, after, count, format } => {
+            let mut connection = location.connect().await?;
+            let filter = filter_args.filter(after);
             if count {
                 let mut sum = 0;
                 for (outcome, effect, n) in filter.count(&mut connection).await? {
@@ -325,21 +336,21 @@
             }
             false
         }
-        RecordCommand::Show { place, id, json } => {
-            let mut connection = place.ask().await?;
-            let Some(whole) = query::show(&mut connection, &id).await? else {
+        RecordCommand::Show { location, id, json } => {
+            let mut connection = location.connect().await?;
+            let Some(details) = query::show(&mut connection, &id).await? else {
                 eprintln!("tulipfall: the record has no message {id:?}");
-                return Ok(code(true));
+                return Ok(exit_code(true));
             };
             if json {
-                writeln!(out, "{}", serde_json::to_string(&whole)?)?;
+                writeln!(out, "{}", serde_json::to_string(&details)?)?;
             } else {
-                write_whole(&mut out, &whole)?;
+                write_details(&mut out, &details)?;
             }
             false
         }
-        RecordCommand::Verify { place, most, json } => {
-            let mut connection = place.ask().await?;
+        RecordCommand::Verify { location, most, json } => {
+            let mut connection = location.connect().await?;
             connection.check_whole().await?;
             let breaches = query::verify(&mut connection, most).await?;
             let aside = query::quarantine(&mut connection).await?.len();
@@ -359,14 +370,14 @@
             }
             !breaches.is_empty() || aside > 0
         }
-        RecordCommand::Reconcile { place, which, statement, settle, complete, json } => {
+        RecordCommand::Reconcile { location, filter_args, statement, settle, complete, json } => {
             let name = statement.display().to_string();
             let read = std::fs::File::open(&statement).map_err(|error| format!("{name}: {error}"))?;
             let ids = query::statement(read).map_err(|error| format!("{name}: {error}"))?;
-            let mut record = place.open().await?;
+            let mut record = location.open().await?;
             let source = statement.file_name().unwrap_or_default().to_string_lossy().into_owned();
             let settled = (settle, complete);
-            let filter = which.filter(None);
+            let filter = filter_args.filter(None);
             let found = query::reconcile(&mut record, &filter, &ids, &source, unix_now(), settled).await?;
             if json {
                 writeln!(out, "{}", serde_json::to_string(&found)?)?;
@@ -388,8 +399,8 @@
             }
             !found.clean() || (!settle && !found.settled_took.is_empty())
         }
-        RecordCommand::Export { place, which, out: file, format } => {
-            let mut connection = place.ask().await?;
+        RecordCommand::Export { location, filter_args, out: file, format } => {
+            let mut connection = location.connect().await?;
             let mut to: Box<dyn Write> = match &file {
                 None => Box::new(&mut out),
                 Some(file) => {
@@ -397,17 +408,17 @@
                     Box::new(BufWriter::new(made.map_err(|error| format!("{}: {error}", file.display()))?))
                 }
             };
-            let (mut filter, mut n, mut first) = (which.filter(None), 0, true);
+            let (mut filter, mut n, mut first) = (filter_args.filter(None), 0, true);
             let progress = std::io::stderr().is_terminal() && file.is_some();
             loop {
-                connection.until(Instant::now() + ASK_WITHIN);
-                let messages = filter.page(&mut connection, PAGE).await?;
+                connection.until(Instant::now() + QUERY_TIMEOUT);
+                let messages = filter.page(&mut connection, PAGE_ROWS).await?;
                 let Some(last) = messages.last() else { break };
                 filter.after = Some((last.ended_at, last.id.clone()));
                 write_rows(&mut to, &messages, format, first)?;
                 (n, first) = (n + messages.len(), false);
                 if progress {
-                    eprint!("\r{n} messages, up to {}", shown(last.ended_at));
+                    eprint!("\r{n} messages, up to {}", format_time(last.ended_at));
                 }
             }
             to.flush()?;
@@ -416,37 +427,37 @@
             }
             false
         }
-        RecordCommand::Prune { place, before } => {
-            let mut record = place.open().await?;
+        RecordCommand::Prune { location, before } => {
+            let mut record = location.open().await?;
             let gone = record.prune(before).await?;
-            writeln!(out, "{gone} messages that ended before {} are removed", shown(before))?;
+            writeln!(out, "{gone} messages that ended before {} are removed", format_time(before))?;
             false
         }
-        RecordCommand::Migrate { place } => {
-            let target = place.target()?;
-            let mut connection = Connection::open(&target, Instant::now() + ASK_WITHIN).await?;
-            connection.until(Instant::now() + ASK_WITHIN);
+        RecordCommand::Migrate { location } => {
+            let target = location.target()?;
+            let mut connection = Connection::open(&target, Instant::now() + QUERY_TIMEOUT).await?;
+            connection.until(Instant::now() + QUERY_TIMEOUT);
             let before = connection.migrate().await?;
             writeln!(out, "{target}: version {before} before, {} now", Connection::newest_version())?;
             false
         }
-        RecordCommand::Quarantine { place, replay: false } => {
-            let rows = query::quarantine(&mut place.ask().await?).await?;
+        RecordCommand::Quarantine { location, replay: false } => {
+            let rows = query::quarantine(&mut location.connect().await?).await?;
             for row in &rows {
                 if let [relay, message, number, at, reason] = row.as_slice() {
-                    let at = shown(at.int().unwrap_or(0));
+                    let at = format_time(at.int().unwrap_or(0));
                     writeln!(out, "{at}  relay {relay}, entry {number}, message {message}: {reason}")?;
                 }
             }
             !rows.is_empty()
         }
-        RecordCommand::Quarantine { place, replay: true } => {
-            let (done, refused) = place.open().await?.replay_set_aside().await?;
+        RecordCommand::Quarantine { location, replay: true } => {
+            let (done, refused) = location.open().await?.replay_set_aside().await?;
             writeln!(out, "{done} written, {refused} refused again")?;
             refused > 0
         }
-        RecordCommand::SetAside { place } => {
-            match place.target()? {
+        RecordCommand::SetAside { location } => {
+            match location.target()? {
                 Target::Sqlite { file, .. } => writeln!(out, "now {}", set_aside(&file)?.display())?,
                 Target::Postgres(_) => return Err("only an SQLite file can be set aside".into()),
             }
@@ -454,16 +465,16 @@
         }
     };
     out.flush()?;
-    Ok(code(found))
+    Ok(exit_code(found))
 }
 
-/// Renames a damaged file with what SQLite keeps beside it. One that can be read stays.
+/// Renames a damaged file together with SQLite's -wal and -shm files. An intact file is not renamed.
 fn set_aside(file: &Path) -> Result<PathBuf, Failure> {
-    let whole = rusqlite::Connection::open_with_flags(file, rusqlite::OpenFlags::SQLITE_OPEN_READ_WRITE)
+    let details = rusqlite::Connection::open_with_flags(file, rusqlite::OpenFlags::SQLITE_OPEN_READ_WRITE)
         .and_then(|connection| {
             connection.query_row("PRAGMA quick_check(1)", [], |row| row.get::<_, String>(0))
         });
-    if whole.is_ok_and(|found| found == "ok") {
+    if details.is_ok_and(|found| found == "ok") {
         return Err(format!("{}: is not damaged", file.display()).into());
     }
     let beside = |suffix: &str| {
@@ -509,7 +520,7 @@
             for m in messages {
                 let evidence = m.evidence_text.clone().or(m.receipt_disposition.clone());
                 table.add_row([
-                    shown(m.ended_at),
+                    format_time(m.ended_at),
                     m.id.clone(),
                     m.class.clone(),
                     m.tenant.clone().unwrap_or_default(),
@@ -527,8 +538,9 @@
     Ok(())
 }
 
-fn write_whole(out: &mut dyn Write, whole: &query::Whole) -> Result<(), Failure> {
-    let m = &whole.message;
+/// Writes one message in full.
+fn write_details(out: &mut dyn Write, details: &query::Whole) -> Result<(), Failure> {
+    let m = &details.message;
     writeln!(out, "{}: {}, {}", m.id, m.outcome, m.effect)?;
     writeln!(
         out,
@@ -537,14 +549,20 @@
         m.tenant.as_deref().unwrap_or("-"),
         m.destination
     )?;
-    writeln!(out, "  taken on {}, ended {}, by {}", shown(m.taken_at), shown(m.ended_at), m.relays)?;
+    writeln!(
+        out,
+        "  taken on {}, ended {}, by {}",
+        format_time(m.taken_at),
+        format_time(m.ended_at),
+        m.relays
+    )?;
     writeln!(out, "  body of {} bytes, SHA-256 {}", m.body_length, m.body_sha256)?;
     let evidence = [&m.evidence_text, &m.receipt_id, &m.receipt_mic, &m.receipt_disposition];
     let evidence: Vec<&str> = evidence.into_iter().filter_map(|text| text.as_deref()).collect();
     writeln!(out, "  evidence: {} {}", m.evidence, evidence.join(", "))?;
     for (what, rows, columns) in [
-        ("attempts", &whole.attempts, &query::ATTEMPT_COLUMNS[..]),
-        ("came to light", &whole.events, &query::EVENT_COLUMNS[..]),
+        ("attempts", &details.attempts, &query::ATTEMPT_COLUMNS[..]),
+        ("came to light", &details.events, &query::EVENT_COLUMNS[..]),
     ] {
         if rows.is_empty() {
             continue;
@@ -555,7 +573,7 @@
                 let value = row.get(*column)?;
                 let text = match value {
                     serde_json::Value::Null => return None,
-                    value if column.ends_with("at") => shown(value.as_i64().unwrap_or(0)),
+                    value if column.ends_with("at") => format_time(value.as_i64().unwrap_or(0)),
                     serde_json::Value::String(text) => text.clone(),
                     value => value.to_string(),
                 };
--- a/src/command/reload.rs
+++ b/src/command/reload.rs
@@ -1,4 +1,4 @@
-//! A reload of the configuration while the relay serves: what it reaches, and its tries while the file cannot be read.
+//! Reloading the configuration while the relay serves: applying the changes, and retrying while the file cannot be read.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,75 +10,81 @@
 use tulipfall::input::{Input, Retuned};
 use tulipfall::retry::Retries;
 
-/// Where discovery is asked and where notices go, as texts.
+/// The addresses of discovery and of non-delivery reports, as text.
 pub fn addresses(config: &Config) -> [Option<Arc<str>>; 2] {
     [config.discovery, config.notices].map(|address| address.map(|address| address.to_string().into()))
 }
 
-/// What a reload reaches, and what it was read against.
+/// Applies a new configuration to the running tasks.
 pub struct Reload {
-    /// The file as it counted at the start, for what only a start takes on.
+    /// The configuration at the start of the process, against which settings that need a restart are compared.
     pub start: Config,
-    /// What was last taken on of its settings.
-    pub last: Option<Retuned>,
-    pub to: [watch::Sender<Option<Arc<str>>>; 2],
+    /// The settings applied last.
+    pub last_applied: Option<Retuned>,
+    /// Current addresses of discovery and of non-delivery reports.
+    pub addresses: [watch::Sender<Option<Arc<str>>>; 2],
+    /// Current addresses of all relays.
     pub relays: watch::Sender<Vec<SocketAddr>>,
+    /// Inputs of the runtime.
     pub inputs: mpsc::Sender<Input>,
 }
 
 impl Reload {
-    /// Takes on what a new configuration changes, whole; one that cannot be used leaves all as it is.
-    pub fn take(&mut self, new: Result<Config, ConfigError>) {
+    /// Applies a new configuration. One that cannot be used changes nothing.
+    pub fn apply(&mut self, new: Result<Config, ConfigError>) {
         let new = match new.and_then(|new| new.whole_beside(&self.start).map(|()| new)) {
             Ok(new) => new,
             Err(error) => {
                 return warn!("the configuration cannot be used, the old one stays: {error}");
             }
         };
-        // First what new messages and attempts go by, then where news comes from.
+        // Settings for new messages and attempts are applied first, then addresses.
         let retuned = new.retuned(&self.start);
-        if self.last.as_ref().unwrap_or(&self.start.retuned(&self.start)) != &retuned {
-            // Inputs wait for the runtime, which this task drives too.
+        if self.last_applied.as_ref().unwrap_or(&self.start.retuned(&self.start)) != &retuned {
+            // Sent from another task: this one also drives the runtime, which has to receive the input.
             let (inputs, retuned) = (self.inputs.clone(), Box::new(retuned.clone()));
             tokio::spawn(async move { inputs.send(Input::Retuned(retuned)).await });
         }
-        self.last = Some(retuned);
-        for (address, to) in addresses(&new).into_iter().zip(&self.to) {
+        self.last_applied = Some(retuned);
+        for (address, to) in addresses(&new).into_iter().zip(&self.addresses) {
             to.send_if_modified(|old| std::mem::replace(old, address.clone()) != address);
         }
         if let Some(fleet) = &new.fleet {
             self.relays.send_if_modified(|old| std::mem::replace(old, fleet.all.clone()) != fleet.all);
         }
-        let left = self.start.need_a_start(&new);
-        let left =
-            if left.is_empty() { String::new() } else { format!("; needs a restart: {}", left.join(", ")) };
-        info!("configuration read again{left}");
+        let restart_keys = self.start.need_a_start(&new);
+        let restart_keys = if restart_keys.is_empty() {
+            String::new()
+        } else {
+            format!("; needs a restart: {}", restart_keys.join(", "))
+        };
+        info!("configuration read again{restart_keys}");
     }
 }
 
-/// The tries of one reload: a file that cannot be read for a moment is read again, while the relay serves.
+/// Retries of one reload: a file that is temporarily unreadable is read again, while the relay serves.
 #[derive(Default)]
-pub struct Reread {
+pub struct ReloadRetry {
     retries: Retries,
-    again_at: Option<tokio::time::Instant>,
+    retry_at: Option<tokio::time::Instant>,
 }
 
-impl Reread {
-    /// Waits until the file is to be read again; for ever where it is not.
+impl ReloadRetry {
+    /// Waits until the next retry is due; forever if there is none.
     pub async fn due(&self) {
-        match self.again_at {
+        match self.retry_at {
             Some(at) => tokio::time::sleep_until(at).await,
             None => std::future::pending().await,
         }
     }
 
-    /// Reads once; none where that is tried again later.
+    /// Reads the file once. `None` if it will be retried.
     pub fn read(
         &mut self, load: impl FnOnce() -> Result<Config, ConfigError>,
     ) -> Option<Result<Config, ConfigError>> {
         let read = load();
         let interval = read.as_ref().err().and_then(|error| self.retries.after("configuration", error));
-        self.again_at = interval.map(|interval| tokio::time::Instant::now() + interval);
+        self.retry_at = interval.map(|interval| tokio::time::Instant::now() + interval);
         interval.is_none().then_some(read)
     }
 }
--- a/src/command/run.rs
+++ b/src/command/run.rs
@@ -1,5 +1,6 @@
-//! The relay at work: reads its configuration, replays its journal, and starts the fronts and the record around
-//! the runtime. Owns the order of start and stop. It must never decide anything about a message.
+//! Runs a relay: reads its configuration, replays its journal, and starts the fronts, the record and the runtime.
+//!
+//! This module defines the order of startup and shutdown. Decisions about messages are made in the runtime alone.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -35,31 +36,32 @@
 
 use super::Failure;
 use super::opening::{self, OpenState, StopSignals, end_unserved, event_loop, listen, open_state};
-use super::reload::{Reload, Reread, addresses};
+use super::reload::{Reload, ReloadRetry, addresses};
 use super::tasks::watched;
 
-/// After a signal to stop, the last call must have ended within this; the platform kills after 3.7 s.
-const STOP_WITHIN: Micros = 2_500_000;
-/// Then the last answers are written within this.
-const ANSWER_WITHIN: Micros = 200_000;
-/// And what ended is recorded within this, or at the next start.
-const RECORD_WITHIN: Micros = 700_000;
-/// The parts of the memory for bodies that are being read, and for those that are held.
-const MEMORY_READING: usize = 8;
-const MEMORY_HELD: usize = 4;
-/// Descriptors for files, listening sockets and the agent.
-const FILES: usize = 24;
-/// Inputs on their way to the runtime.
-const INPUTS: usize = 1024;
+/// Time after a signal to stop within which all calls must end, in microseconds. The platform kills the process after 3.7 s.
+const STOP_TIMEOUT_US: Micros = 2_500_000;
+/// Time after that for writing the last answers, in microseconds.
+const ANSWER_TIMEOUT_US: Micros = 200_000;
+/// Time after that for recording outcomes, in microseconds. The rest is recorded at the next start.
+const RECORD_TIMEOUT_US: Micros = 700_000;
+/// Bodies that are being read may take the memory limit divided by this.
+const READING_MEMORY_DIVISOR: usize = 8;
+/// Bodies that are held may take the memory limit divided by this.
+const HELD_MEMORY_DIVISOR: usize = 4;
+/// File descriptors reserved for files, listening sockets and the platform's agent.
+const RESERVED_DESCRIPTORS: usize = 24;
+/// Capacity of the channel of inputs to the runtime.
+const INPUT_CAPACITY: usize = 1024;
 
-/// Runs a relay until it is stopped. `load` reads the configuration, and is told whether it does so again.
+/// Runs a relay until it is stopped. `load` reads the configuration; its argument is true at a reload.
 pub fn start(load: impl Fn(bool) -> Result<Config, ConfigError>) -> Result<(), Failure> {
     let config = until_works_blocking("configuration", || load(false))?;
     event_loop()?.block_on(run(config, load))
 }
 
 async fn run(mut config: Config, load: impl Fn(bool) -> Result<Config, ConfigError>) -> Result<(), Failure> {
-    // Before all else: a signal that finds no handler ends the process.
+    // Must come first, because a signal without a handler terminates the process.
     let mut signals = StopSignals::install()?;
     let mut hangup = signal(SignalKind::hangup())?;
     let before_clock = ProcessStatus::starting(Clock::start());
@@ -67,36 +69,45 @@
         clock = opening::clock(&config.state, &config.name, &before_clock) => clock?,
         () = signals.stop() => return Ok(()),
     };
-    let (inputs, received) = mpsc::channel(INPUTS);
+    let (inputs, received) = mpsc::channel(INPUT_CAPACITY);
     let (notices, owed) = mpsc::unbounded_channel();
-    let standing = Arc::new(ProcessStatus::starting(clock));
-    // Open before the replay: operators hear then that it starts.
+    let status = Arc::new(ProcessStatus::starting(clock));
+    // Opened before the replay, so that operators can see that the process is starting.
     if let Some(ops) = config.ops {
         tokio::select! {
-            opened = until_works("ops", &standing, async || door::open(ops, standing.clone(), clock)) => {
+            opened = until_works("ops", &status, async || door::open(ops, status.clone(), clock)) => {
                 opened.map_err(|error| format!("ops {ops}: {error}"))?;
             }
             () = signals.stop() => return Ok(()),
         }
     }
-    let budget = Budget::new(config.limits.memory / MEMORY_READING);
+    let budget = Budget::new(config.limits.memory / READING_MEMORY_DIVISOR);
     let front = |front| {
-        let (inputs, standing) = (inputs.clone(), standing.clone());
+        let (inputs, status) = (inputs.clone(), status.clone());
         let (reading, busy, guests) = Default::default();
-        Arc::new(Inbound { clock, front, inputs, budget: budget.clone(), reading, busy, guests, standing })
+        Arc::new(Inbound {
+            clock,
+            front,
+            inputs,
+            budget: budget.clone(),
+            reading,
+            busy,
+            guests,
+            standing: status,
+        })
     };
-    // An eighth of the descriptors for AS2 partners. Of what these, files and the agent leave, calls take half at the most,
-    // clients what calls leave, up to half of all, and idle connections to endpoints the rest: however many clients hold a
-    // place, a call and the agent find a descriptor.
-    let most_partners = config.limits.sockets / 8;
-    let partners = if config.as2.is_some() { most_partners } else { 0 };
+    // Division of the file descriptors: an eighth is for AS2 partners. Of those left after partners and reserved descriptors,
+    // calls get at most half, clients the rest but at most half of the limit, and idle connections to endpoints what remains.
+    // So calls and the agent always have descriptors, however many clients are connected.
+    let max_partners = config.limits.sockets / 8;
+    let partners = if config.as2.is_some() { max_partners } else { 0 };
     let ops = config.ops.map_or(0, |_| door::DESCRIPTORS);
-    let left = config.limits.sockets.saturating_sub(partners + FILES + ops).max(2);
-    config.settings.slots = config.settings.slots.min(u32::try_from(left / 2).unwrap_or(u32::MAX));
-    let left = left - config.settings.slots as usize;
-    let most_clients = left.min(config.limits.sockets / 2);
-    let most_idle = left - most_clients;
-    let clients = Arc::new(AtomicUsize::new(most_clients));
+    let descriptors = config.limits.sockets.saturating_sub(partners + RESERVED_DESCRIPTORS + ops).max(2);
+    config.settings.slots = config.settings.slots.min(u32::try_from(descriptors / 2).unwrap_or(u32::MAX));
+    let descriptors = descriptors - config.settings.slots as usize;
+    let max_clients = descriptors.min(config.limits.sockets / 2);
+    let max_idle = descriptors - max_clients;
+    let clients = Arc::new(AtomicUsize::new(max_clients));
 
     let (ended, mut ends) = mpsc::unbounded_channel();
     let vocabulary =
@@ -105,20 +116,20 @@
     let platform = front(Front::Platform(named));
     let mut serving = None;
     let mut inherited = config.accept.as_deref().map(|fd| adopt(fd, config.listen)).transpose()?;
-    // Bound before the replay, so that clients wait for it rather than be turned away. One that is inherited may be
-    // served by another process still.
+    // Bound before the replay, so that clients wait instead of being refused. An inherited socket may still be served by
+    // another process.
     if inherited.is_none() {
         let listener = tokio::select! {
-            listener = listen(config.listen, &standing) => listener?,
+            listener = listen(config.listen, &status) => listener?,
             () = signals.stop() => return Ok(()),
         };
         let front = serve(listener, platform.clone(), clients.clone());
         serving = Some(tokio::spawn(watched("clients' connections", &ended, front)));
     }
     let opened = tokio::select! {
-        opened = open_state(&config, inherited.is_some(), (clock, anchor.as_ref()), &standing) => opened?,
+        opened = open_state(&config, inherited.is_some(), (clock, anchor.as_ref()), &status) => opened?,
         () = signals.stop() => {
-            end_unserved(clock, &standing, received, platform).await;
+            end_unserved(clock, &status, received, platform).await;
             return Ok(());
         }
     };
@@ -127,9 +138,9 @@
         Some(record) => {
             let (name, state, seed) = (&config.name, &config.state, clock.now().unsigned_abs());
             tokio::select! {
-                started = recording::start(record, name, state, seed, clock, &standing, &mut journal) => Some(started?),
+                started = recording::start(record, name, state, seed, clock, &status, &mut journal) => Some(started?),
                 () = signals.stop() => {
-                    end_unserved(clock, &standing, received, platform).await;
+                    end_unserved(clock, &status, received, platform).await;
                     return Ok(());
                 }
             }
@@ -138,8 +149,8 @@
     };
     let replay = journal.replay();
     let settings = &config.settings;
-    let connections = Connections::new(clock, settings.connect_timeout, settings.connection_idle, most_idle)
-        .counted_by(standing.connections().clone());
+    let connections = Connections::new(clock, settings.connect_timeout, settings.connection_idle, max_idle)
+        .counted_by(status.connections().clone());
     let as2 = config.as2.take().map(|as2| {
         let receipts = replay.receipts.clone();
         let front = As2::new(as2.identity, clock, inputs.clone(), connections.clone(), receipts);
@@ -150,15 +161,15 @@
     let (messages, pending) = (replay.messages.len(), replay.notices.len());
     let relay = (Relay::new(config.settings.clone(), config.seed)?, config.settings.clone());
     let names = config.names.clone();
-    let most = (config.settings.max_held as usize, config.limits.memory / MEMORY_HELD);
+    let limits = (config.settings.max_held as usize, config.limits.memory / HELD_MEMORY_DIVISOR);
     let last = replay.entries.iter().map(|(number, _)| *number).max().unwrap_or(0);
     let known = config.known.take();
     let revision = known.as_ref().map_or(0, |known| known.revision);
     let revision = handed_over.as_ref().map_or(revision, |(handed, _)| handed.revision);
     let revision = Arc::new(AtomicI64::new(revision));
     let mut known = known.map(|known| known.members).unwrap_or_default();
-    let mut runtime = Runtime::new(clock, relay, names, most, journal, caller, notices)
-        .with_status(standing.clone())
+    let mut runtime = Runtime::new(clock, relay, names, limits, journal, caller, notices)
+        .with_status(status.clone())
         .with_vocabulary(naming)
         .with_revision(revision.clone());
     let mut started = None;
@@ -169,7 +180,7 @@
         tokio::spawn(recording::acknowledge(numbers, inputs.clone()));
         started = Some(record);
     }
-    let mut said = Vec::new();
+    let mut restored_reports = Vec::new();
     let relays = config.fleet.as_ref().map(|fleet| fleet.all.clone()).unwrap_or_default();
     let (relays, replaced) = watch::channel(relays);
     let mut peers = None;
@@ -177,7 +188,7 @@
     if let Some(setup) = &config.fleet {
         let seed = clock.now().unsigned_abs();
         let (rules, snapshot) = (&config.settings.rules, (config.state.as_path(), config.snapshot_room()));
-        let (inputs, process) = (inputs.clone(), (standing.clone(), leave.clone()));
+        let (inputs, process) = (inputs.clone(), (status.clone(), leave.clone()));
         let before = match &handed_over {
             None => fleet::InitialEndpoints::Configured(&known),
             Some((handed, _)) => fleet::InitialEndpoints::HandedOver(handed.endpoints()),
@@ -187,29 +198,29 @@
                 started.map_err(|error| format!("peers: {error}"))?
             }
             () = signals.stop() => {
-                end_unserved(clock, &standing, received, platform).await;
+                end_unserved(clock, &status, received, platform).await;
                 return Ok(());
             }
         };
-        (runtime, said) = (runtime.with_fleet(started.updates), started.restored_reports);
+        (runtime, restored_reports) = (runtime.with_fleet(started.updates), started.restored_reports);
         let abort = started.task.abort_handle();
         peers = Some((abort, tokio::spawn(watched("peers", &ended, started.task))));
-        // What control machines said last goes before the list of the file.
+        // The destination set last received from control machines takes precedence over the list in the file.
         known = started.endpoints.unwrap_or(known);
     }
-    // Pushed lists are asked of an agent of this machine's own; others cost the one that all relays ask.
+    // Pushed lists come from an agent on the same machine. Otherwise all relays query one server, which limits the rate.
     let (asking, watch) = match config.settings.ask_every {
         None => (1, discovery::WATCH_PUSHED),
         Some(_) => (config.settings.senders, discovery::WATCH),
     };
     let mut back_off = discovery::BackOff::new(asking, config.seed, config.settings.rules.drain_grace);
-    let mut kept = None;
+    let mut predecessor = None;
     match handed_over {
-        None => runtime.resume(known, said, replay)?,
+        None => runtime.resume(known, restored_reports, replay)?,
         Some((handed, link)) => {
             back_off = back_off.watching();
-            standing.inherit_standby(handed.standby);
-            kept = Some((link, runtime.adopt(*handed, replay)?));
+            status.inherit_standby(handed.standby);
+            predecessor = Some((link, runtime.adopt(*handed, replay)?));
         }
     }
 
@@ -221,26 +232,26 @@
     let mut fronts = vec![platform.clone()];
     if let Some((address, as2)) = as2 {
         let as2 = front(Front::Beside(as2));
-        let most = Arc::new(AtomicUsize::new(most_partners));
-        let partners = serve(listen(address, &standing).await?, as2.clone(), most);
+        let max_partners = Arc::new(AtomicUsize::new(max_partners));
+        let partners = serve(listen(address, &status).await?, as2.clone(), max_partners);
         tokio::spawn(watched("partners' connections", &ended, partners));
         fronts.push(as2);
     }
     let (links, mut linked) = mpsc::channel(1);
     if let Some(listener) = inherited.take() {
-        if kept.is_some() {
-            // Clients' connections are shared between the two until the old one's are gone.
-            clients.store(client_limit(most_clients, most_clients), Ordering::Relaxed);
-            connections.keep_at_most(most_idle / 8);
+        if predecessor.is_some() {
+            // Both processes share the limit on client connections until those of the old process are closed.
+            clients.store(client_limit(max_clients, max_clients), Ordering::Relaxed);
+            connections.keep_at_most(max_idle / 8);
         }
         let (inputs, places_now, connections) = (inputs.clone(), clients.clone(), connections.clone());
         let (state, name, hands_over) = (config.state.clone(), config.name.clone(), hands_over(&config));
         tokio::spawn(async move {
-            if let Some((link, out)) = kept {
-                serve_link(link, out, inputs.clone(), clients, most_clients).await;
-                connections.keep_at_most(most_idle);
+            if let Some((link, out)) = predecessor {
+                serve_link(link, out, inputs.clone(), clients, max_clients).await;
+                connections.keep_at_most(max_idle);
             }
-            // With nobody before it any more, this one may be replaced in turn.
+            // Once the old process has ended, this one may hand over in turn.
             if hands_over {
                 open_to_successors(&state, name, clock, inputs, links).await;
             }
@@ -251,42 +262,43 @@
     let retiring = connections.clone();
     tokio::spawn(async move {
         loop {
-            let again = retiring.retire();
-            tokio::time::sleep_until(clock.instant(again)).await;
+            let next_due = retiring.retire();
+            tokio::time::sleep_until(clock.instant(next_due)).await;
         }
     });
-    let again = inputs.clone();
-    let stopping = standing.clone();
+    let reload_inputs = inputs.clone();
+    let stopping = status.clone();
     tokio::spawn(async move {
         tokio::select! {
             () = signals.stop() => {}
-            // Emptied in its turn, which the process after this one ends.
+            // The relay is drained in its maintenance slot. The next process ends the slot.
             () = leave.notified() => {}
         }
         stopping.enter(Phase::Stopping);
         info!("stopping");
-        let _ = inputs.send(Input::Stop(clock.now() + STOP_WITHIN)).await;
+        let _ = inputs.send(Input::Stop(clock.now() + STOP_TIMEOUT_US)).await;
     });
-    standing.enter(Phase::Serving);
-    info!("{} ready, {messages} messages and {pending} notices taken on again", config.name);
-    let mut reloads = Reload { last: None, start: config, to: [ask, tell], relays, inputs: again };
+    status.enter(Phase::Serving);
+    info!("{} ready, {messages} messages and {pending} notices restored", config.name);
+    let mut reload =
+        Reload { last_applied: None, start: config, addresses: [ask, tell], relays, inputs: reload_inputs };
     let served = runtime.run(received);
     tokio::pin!(served);
-    let mut again = Reread::default();
+    let mut reload_retry = ReloadRetry::default();
     let end = loop {
         tokio::select! {
             end = &mut served => break end?,
             Some(task) = ends.recv() => return Err(format!("{task}: the task has ended by itself").into()),
-            Some(()) = hangup.recv() => again = Reread::default(),
-            () = again.due() => {}
+            Some(()) = hangup.recv() => reload_retry = ReloadRetry::default(),
+            () = reload_retry.due() => {}
         }
-        if let Some(read) = again.read(|| load(true)) {
-            reloads.take(read);
+        if let Some(read) = reload_retry.read(|| load(true)) {
+            reload.apply(read);
         }
     };
-    if let End::HandedOver(left, inputs) = end {
-        // All that the new process is to have: the listening socket and the notes' socket are let go of, then the
-        // folder, of which the journal is closed already.
+    if let End::HandedOver(calls_left, inputs) = end {
+        // Release what the new process needs: the listening socket and the socket of the peer links, then the state folder,
+        // whose journal is already closed.
         for task in [serving, Some(follow)].into_iter().flatten() {
             task.abort();
             let _ = task.await;
@@ -296,31 +308,31 @@
             let _ = task.await;
         }
         connections.keep_at_most(0);
-        standing.enter(Phase::Superseded);
+        status.enter(Phase::Superseded);
         drop(owner);
         if let Some(mut successor) = linked.recv().await {
             let _ = successor.link.send(&LinkMessage::Released).await;
-            finish(successor, inputs, left, platform, clock).await;
+            finish(successor, inputs, calls_left, platform, clock).await;
         }
         return Ok(());
     }
     for front in fronts {
-        front.answered(clock.now() + ANSWER_WITHIN).await;
+        front.answered(clock.now() + ANSWER_TIMEOUT_US).await;
     }
     if let Some(record) = started
-        && !record.handle.flushed(clock.instant(clock.now() + RECORD_WITHIN)).await
+        && !record.handle.flushed(clock.instant(clock.now() + RECORD_TIMEOUT_US)).await
     {
-        info!("the record does not hold all ends yet; the journal keeps them for the next start");
+        info!("not all outcomes are recorded yet; the journal keeps them for the next start");
     }
     Ok(())
 }
 
-/// Whether this relay can pass all on while it runs. With a record or AS2 its successor waits for its end.
+/// Whether this relay can hand over while it runs. With a record or AS2, its successor waits until it has ended.
 fn hands_over(config: &Config) -> bool {
     config.record.is_none() && config.as2.is_none()
 }
 
-/// Lets processes call that would take over.
+/// Accepts processes that request a handover.
 async fn open_to_successors(
     state: &Path, name: String, clock: Clock, inputs: mpsc::Sender<Input>, links: mpsc::Sender<Successor>,
 ) {
@@ -337,7 +349,7 @@
     }
 }
 
-/// The clients' listening socket, as this process was started with it.
+/// Adopts the clients' listening socket, which this process inherited.
 fn adopt(fd: &str, expected: SocketAddr) -> Result<TcpListener, Failure> {
     let listener = inherited::listener(fd, expected).map_err(|why| format!("PROXY_ACCEPT_FD: {why}"))?;
     let adopted = || {
--- a/src/command/tasks.rs
+++ b/src/command/tasks.rs
@@ -1,23 +1,23 @@
-//! The tasks that last as long as the process: one that ends by itself is told, so that none is silent.
+//! Supervision of tasks that run as long as the process: if one ends by itself, its name is reported.
 
 use tokio::sync::mpsc;
 
-/// Tells the end of a task that should last as long as the process, also by a panic.
-struct Watch(&'static str, mpsc::UnboundedSender<&'static str>);
+/// Sends the name of a task when it is dropped, and so also when the task panics.
+struct EndReporter(&'static str, mpsc::UnboundedSender<&'static str>);
 
-impl Drop for Watch {
+impl Drop for EndReporter {
     fn drop(&mut self) {
         let _ = self.1.send(self.0);
     }
 }
 
-/// Runs a task that should last as long as the process, and tells its end.
+/// Wraps a task that should run as long as the process, so that its name is sent to `ended` when it ends.
 pub fn watched<F: Future>(
     name: &'static str, ended: &mpsc::UnboundedSender<&'static str>, task: F,
 ) -> impl Future<Output = ()> + use<F> {
-    let watch = Watch(name, ended.clone());
+    let reporter = EndReporter(name, ended.clone());
     async move {
-        let _watch = watch;
+        let _reporter = reporter;
         task.await;
     }
 }
--- a/src/command/turns.rs
+++ b/src/command/turns.rs
@@ -9,7 +9,7 @@
 
 use super::Failure;
 use super::control::Socket;
-use super::publishing::{self, Machines, Named};
+use super::publishing::{self, Machines, ProposalId};
 
 /// Exit status when the relay is not in maintenance in the given time.
 const EXIT_NOT_IN_MAINTENANCE: u8 = 3;
@@ -76,7 +76,7 @@
         #[command(flatten)]
         machines: Machines,
         #[command(flatten)]
-        named: Named,
+        named: ProposalId,
         /// A JSON array of operations
         #[arg(value_name = "OPERATIONS.json")]
         file: PathBuf,
@@ -86,7 +86,7 @@
         #[command(flatten)]
         machines: Machines,
         #[command(flatten)]
-        named: Named,
+        named: ProposalId,
         /// The number of the last change that stays: 41 for version 0.41
         #[arg(value_name = "NUMBER")]
         to: u64,
--- a/src/config/distribution.rs
+++ b/src/config/distribution.rs
@@ -1,5 +1,5 @@
-//! The `[configuration]` table of an operator's file: from which control machines a relay takes the destination set, by which
-//! keys they sign it, and the place of every machine.
+//! The table `configuration` of an operator's file: the control machines that replicate the destination set to the relay, the
+//! keys that sign it, and the zone and region of each machine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,21 +13,21 @@
 use super::operator::Table;
 use crate::fleet::{DistributionSetup, Setup};
 
-/// Bytes of a public key, each two hex digits.
+/// Length of a public key in bytes, each written as two hex digits.
 const KEY_BYTES: usize = 32;
-/// The part of the disk for the set's file. There are two while one takes the place of the other.
-const FILE_PART: u64 = 16;
+/// The file of the destination set may take the disk limit divided by this. Two exist while one replaces the other.
+const FILE_DIVISOR: u64 = 16;
 
-/// The part that the files of the set take of the disk, in bytes; nothing where there is no such table.
+/// Space for the files of the destination set, in bytes; zero without the table.
 pub(super) fn files_room(fleet: Option<&Setup>) -> u64 {
     let distribution = fleet.and_then(|fleet| fleet.distribution.as_ref());
     distribution.map_or(0, |distribution| 2 * distribution.file_room)
 }
 
-/// Reads the table into the relay's part in its fleet, which it needs.
+/// Reads the table into the fleet's setup, which it requires.
 ///
 /// # Errors
-/// The first key that is missing, wrong or not known; a relay without a place or with two.
+/// The first key that is missing, invalid or unknown; a relay that is in no zone, or in two.
 pub(super) fn read(table: &Table, fleet: Option<&mut Setup>, limits: Limits) -> Result<(), ConfigError> {
     let Some(fleet) = fleet else {
         return Err(bad("configuration", "needs [peers], on whose link changes come"));
@@ -45,7 +45,7 @@
         controls,
         topology: Arc::new(topology),
         keys,
-        file_room: limits.disk / FILE_PART,
+        file_room: limits.disk / FILE_DIVISOR,
     });
     Ok(())
 }
@@ -93,7 +93,7 @@
     if entries.is_empty() { Err(table.bad("zone", "is missing")) } else { Ok(()) }
 }
 
-/// Reads where control machines hear notes, in the order of the file.
+/// Reads the addresses on which control machines receive datagrams, in the order of the file.
 fn read_controls(table: &Table, layout: &mut Layout, fleet: &Setup) -> Result<Vec<SocketAddr>, ConfigError> {
     let mut controls: Vec<SocketAddr> = Vec::new();
     for entry in table.tables("control")? {
@@ -106,7 +106,7 @@
             LayoutError::TooManyMachines => table.bad("control", error.to_string()),
             _ => entry.bad("address", error.to_string()),
         })?;
-        // Of use to control machines alone, whose files have the same table.
+        // Only control machines use these keys; their files contain the same table.
         for key in ["consensus", "admin"] {
             entry.address(key)?;
         }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -30,7 +30,7 @@
 pub use error::ConfigError;
 pub use limits::Limits;
 
-/// Bytes kept for the file of the clock, of which there are two while one takes the place of the other.
+/// Space for the file of the clock, in bytes. Two exist while one replaces the other.
 const CLOCK_BYTES: u64 = 1024;
 /// The snapshot of health observations may take the disk limit divided by this.
 const SNAPSHOT_DIVISOR: u64 = 32;
@@ -61,7 +61,7 @@
     pub discovery: Option<SocketAddr>,
     /// Address to which non-delivery reports go; without one they are only recorded and logged.
     pub notices: Option<SocketAddr>,
-    /// Database in which the ends of messages are recorded, if any.
+    /// Database in which the outcomes of messages are recorded, if any.
     pub record: Option<Recording>,
     /// Membership in a fleet of relays, if any.
     pub fleet: Option<Setup>,
@@ -77,7 +77,7 @@
     pub settings: Settings,
     /// Names of the classes, tenants and other items in these settings.
     pub names: Names,
-    /// The destination set as last known.
+    /// The destination set from the file, as last known.
     pub known: Option<Told>,
     /// The file as it was read.
     source: Value,
--- a/src/config/operator/as2.rs
+++ b/src/config/operator/as2.rs
@@ -7,7 +7,7 @@
 use openssl::pkey::{PKey, Private};
 use openssl::x509::X509;
 
-use crate::as2::{HandsIn, Identity, Partner};
+use crate::as2::{Identity, Partner, Submissions};
 use crate::config::As2Config;
 use crate::config::error::ConfigError;
 use crate::interface::{Micros, Settings};
@@ -76,7 +76,7 @@
             key,
             certificate,
             receipt_url: table.text("receipt_url")?.into(),
-            remember: (remember_days * DAY as f64) as Micros,
+            receipt_retention: (remember_days * DAY as f64) as Micros,
             partners,
         },
     };
@@ -89,7 +89,7 @@
 }
 
 fn read_partner(table: &Table, context: &Context) -> Result<Partner, ConfigError> {
-    let hands_in = table.table("hands_in")?;
+    let submissions = table.table("hands_in")?;
     let receipt_to = table.maybe_text("receipt_to")?;
     let has_destination = table.get("destination").is_some();
     let destination = has_destination.then(|| context.destination(table)).transpose()?;
@@ -100,7 +100,7 @@
         destination,
         path: table.maybe_text("path")?.unwrap_or("/").into(),
         asynchronous,
-        hands_in: hands_in.map(|hands_in| read_hands_in(&hands_in, context)).transpose()?,
+        submissions: submissions.map(|submissions| read_submissions(&submissions, context)).transpose()?,
         receipt_to: receipt_to.map(|text| parse_receipt_to(table, text)).transpose()?,
     };
     table.finish()?;
@@ -117,7 +117,7 @@
 }
 
 /// What a partner may submit, and to which destination.
-fn read_hands_in(table: &Table, context: &Context) -> Result<HandsIn, ConfigError> {
+fn read_submissions(table: &Table, context: &Context) -> Result<Submissions, ConfigError> {
     let class = table.text("class")?;
     let number = context.names.class(class).ok_or_else(|| table.bad("class", "is no class of this file"))?;
     let tenant = table.maybe_text("tenant")?;
@@ -127,7 +127,7 @@
         return Err(table.bad("tenant", "is no tenant of this file"));
     }
     let deadline = context.settings.classes.get(number).map_or(0, |class| class.deadline);
-    Ok(HandsIn { class: class.into(), tenant: tenant.map(String::from), destination, deadline })
+    Ok(Submissions { class: class.into(), tenant: tenant.map(String::from), destination, deadline })
 }
 
 /// Splits the address and the path of asynchronous receipts.
--- a/src/config/operator/fleet.rs
+++ b/src/config/operator/fleet.rs
@@ -98,7 +98,7 @@
     }
 }
 
-/// Maximum number of relays that may be out for maintenance at once, if maintenance slots are on.
+/// Maximum number of relays that may be unavailable for maintenance at once, if maintenance slots are on.
 fn read_seats(table: &Table) -> Result<Option<u8>, ConfigError> {
     let Some(value) = table.get("turns") else { return Ok(None) };
     let seats = value.as_u64().and_then(|seats| u8::try_from(seats).ok()).filter(|seats| *seats > 0);
--- a/src/config/operator/record.rs
+++ b/src/config/operator/record.rs
@@ -1,4 +1,4 @@
-//! The table `store`: the database in which the ends of messages are recorded.
+//! The table `store`: the database in which the outcomes of messages are recorded.
 
 use std::path::{Path, PathBuf};
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Reads the table `store`. `None` where the journal alone is asked for.
+/// Reads the table `store`. `None` if only the journal is configured.
 pub(super) fn read(
     table: &Table, folder: &Path, state: &Path, limits: Limits, environment: impl Fn(&str) -> Option<String>,
 ) -> Result<Option<Recording>, ConfigError> {
--- a/src/config/operator/settings.rs
+++ b/src/config/operator/settings.rs
@@ -47,8 +47,8 @@
     Ok(read)
 }
 
-/// What a repeat does, as the platform's settings name it, and for how many milliseconds a destination drops the repeats of a
-/// keyed message.
+/// Effect of a retry, as named in the platform's settings, and the time in milliseconds for which a destination drops retries
+/// of a keyed message.
 fn read_idempotency(class: &Table) -> Result<(&'static str, Option<f64>), ConfigError> {
     match class.text("effect")? {
         "repeatable" => Ok(("idempotent", None)),
@@ -76,7 +76,7 @@
         members.append(&mut read_endpoints(&destination)?);
         destination.finish()?;
     }
-    // With a replicated destination set the list is the base of the first start alone, and may be empty.
+    // With a replicated destination set, the list is used at the first start only, and may be empty.
     if members.is_empty() && top.get("configuration").is_none() {
         return Err(bad("destination", "is missing"));
     }
--- a/src/config/operator/table.rs
+++ b/src/config/operator/table.rs
@@ -23,7 +23,7 @@
 }
 
 impl<'a> Table<'a> {
-    /// The table at a path of the file; an error where the value there is no table.
+    /// The table at a path of the file; an error if the value there is not a table.
     pub(in crate::config) fn new(value: &'a Value, path: &str) -> Result<Self, ConfigError> {
         if !value.is_object() {
             return Err(bad(path, "is not a table"));
@@ -36,7 +36,7 @@
         if self.path.is_empty() { key.into() } else { format!("{}.{key}", self.path) }
     }
 
-    /// A file that a key of this table names cannot be read.
+    /// An error for a file that a key of this table names and that cannot be read.
     pub(in crate::config) fn unreadable(&self, key: &str, file: &Path, error: std::io::Error) -> ConfigError {
         ConfigError::Unreadable { file: format!("{}: {}", self.path_of(key), file.display()), error }
     }
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -110,7 +110,7 @@
     permits: Option<Sharing>,
     /// Whether health observations are exchanged.
     facts: bool,
-    /// Maximum number of relays that may be out for maintenance at once.
+    /// Maximum number of relays that may be unavailable for maintenance at once.
     seats: Option<u8>,
     /// Whether the retry budget is shared.
     repeats: bool,
@@ -167,8 +167,8 @@
     }
 }
 
-/// Reads the membership in a fleet. Limits are shared only where the platform permits it and there is more than one
-/// relay; without any feature there is no membership.
+/// Reads the membership in a fleet. Limits are shared only if the platform permits it and there is more than one relay. Without
+/// any such feature there is no membership.
 fn read_fleet(value: &Value, options: FleetOptions) -> Result<Option<Setup>, ConfigError> {
     let (Some(listen), Some(all)) = (value.get("peer_listen"), value.get("peers")) else { return Ok(None) };
     let may_share = value.pointer("/settings/Limits/Peers").and_then(Value::as_bool) == Some(true);
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,6 @@
-//! The program: one relay, and the tool that writes and checks configurations and asks the record. Owns the
-//! command line and the log. It must never decide anything about a message.
+//! The program `tulipfall`: runs a relay, and provides the command-line tools for configurations, running relays and the record.
+//!
+//! This module parses the command line and sets up logging.
 
 mod command;
 
@@ -15,21 +16,21 @@
 use command::{Failure, control, peers, record, run, turns};
 use tulipfall::config::{Config, template};
 
-/// A message relay: takes messages from clients and delivers each to an endpoint of its destination.
+/// A message relay: accepts messages from clients and delivers each to an endpoint of its destination
 ///
-/// Without a sub-command it runs one relay on the platform, by the file that PROXY_CONFIG names.
+/// Without a subcommand, it runs one relay on the platform, with the configuration file that PROXY_CONFIG names.
 #[derive(Parser)]
 #[command(
     version,
-    after_help = "Exit status: 0 all is well; 1 it could not be done; 2 the command line is wrong; \
-3 it was done, and something was found that wants a look."
+    after_help = "Exit status: 0 success; 1 the command failed; 2 the command line is invalid; \
+3 the command succeeded, and found something that needs attention."
 )]
 struct Cli {
-    /// What is logged: a level (error, warn, info, debug, trace), or levels by module, such as
+    /// Log filter: a level (error, warn, info, debug, trace), or levels by module, such as
     /// "info,tulipfall::as2=debug,record=debug"
     #[arg(long, global = true, env = "TULIPFALL_LOG", default_value = "info", value_name = "LEVELS")]
     log: String,
-    /// How a line of the log is written
+    /// Format of the log
     #[arg(long, global = true, env = "TULIPFALL_LOG_FORMAT", default_value = "text")]
     log_format: LogFormat,
     #[command(subcommand)]
@@ -38,9 +39,9 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 enum LogFormat {
-    /// A line to read
+    /// Human-readable lines
     Text,
-    /// A JSON object a line, with message, attempt and destination as fields
+    /// One JSON object per line, with message, attempt and destination as fields
     Json,
 }
 
@@ -48,59 +49,59 @@
 enum Command {
     /// Runs one relay
     Run {
-        /// An operator's file; without it PROXY_CONFIG names the platform's
+        /// An operator's configuration file; without it, PROXY_CONFIG names the platform's
         #[arg(long, value_name = "FILE")]
         config: Option<PathBuf>,
     },
     /// Writes and checks configurations
     #[command(subcommand)]
     Config(ConfigCommand),
-    /// Shows who of the other relays is there, as a running relay sees it
+    /// Shows the membership state of the other relays, as a running relay sees it
     Peers {
         #[command(subcommand)]
         command: peers::Show,
     },
-    /// Shows what a running relay knows of destinations, from whom, and how far it believes it
+    /// Shows a running relay's observations of destinations, with their source and weight
     Facts {
         #[command(subcommand)]
         command: peers::Show,
     },
-    /// Shows, for each destination of which the relay is the steward, what waits at all relays and the cut: what has to wait
+    /// Shows, for each destination that the relay coordinates, the messages waiting at all relays and the cutoff priority
     Overload {
         #[command(subcommand)]
         command: peers::Show,
     },
-    /// Shows the budget for repeats that the fleet shares, by destination
+    /// Shows the retry budget that the fleet shares, by destination
     Repeats {
         #[command(subcommand)]
         command: peers::Show,
     },
-    /// Wishes a relay out for work; the fleet settles when
+    /// Requests to take a relay out of service for maintenance; the fleet schedules it
     Out(turns::DrainArgs),
-    /// Brings back a relay that is out, before its process ended
+    /// Returns a relay to service before its process has ended for maintenance
     Back(control::Socket),
-    /// Gives up a wish to go out; one that is out already comes back
+    /// Withdraws a maintenance request; a relay already out of service returns
     Abort(turns::RelayArgs),
-    /// Turns and shared limits of the whole fleet
+    /// Maintenance and shared limits of the whole fleet, and its destination set
     #[command(subcommand)]
     Fleet(turns::FleetCommand),
-    /// Asks and looks after the record of final answers
+    /// Queries and maintains the record of outcomes
     #[command(subcommand)]
     Record(Box<record::RecordCommand>),
 }
 
 #[derive(Subcommand)]
 enum ConfigCommand {
-    /// Writes a configuration for an application, never over a file that is there
+    /// Writes a configuration for an application; an existing file is never overwritten
     Init {
-        /// The application: letters, digits, - and _
+        /// Name of the application: letters, digits, - and _
         application: String,
-        /// The file; APPLICATION.toml without it
+        /// The file to write [default: APPLICATION.toml]
         file: Option<PathBuf>,
     },
-    /// Tells whether configurations can be used, and names the first key that stands against it
+    /// Checks configurations, and names the first invalid key of each
     Check {
-        /// The files
+        /// The files to check
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
@@ -126,8 +127,8 @@
         LogFormat::Json => log.with(lines.json()).init(),
     }
     let result = match cli.command {
-        None | Some(Command::Run { config: None }) => run::start(|again| match again {
-            // The environment is the start's: from then on the file that was replaced tells where discovery is.
+        None | Some(Command::Run { config: None }) => run::start(|reload| match reload {
+            // The environment dates from the start, so at a reload the address of discovery comes from the file.
             true => Config::load(|variable| environment(variable).filter(|_| variable != "PROXY_DISCOVERY")),
             false => Config::load(environment),
         })
@@ -148,10 +149,10 @@
         Some(Command::Back(socket)) => turns::back(&socket),
         Some(Command::Abort(one)) => turns::abort(&one),
         Some(Command::Fleet(command)) => turns::fleet(&command),
-        Some(Command::Record(command)) => record::carry_out(*command),
+        Some(Command::Record(command)) => record::run(*command),
     };
     result.unwrap_or_else(|error| {
-        // Where standard error cannot be written, the exit status still tells.
+        // If standard error cannot be written, the exit status still reports the failure.
         let _ = writeln!(std::io::stderr(), "tulipfall: {error}");
         ExitCode::FAILURE
     })
@@ -162,7 +163,7 @@
     if application.is_empty() || !application.chars().all(plain) {
         return Err(format!("application {application:?}: expected letters, digits, - and _").into());
     }
-    // Never over a file that is there: an operator may have changed it.
+    // An existing file is never overwritten, because an operator may have changed it.
     let mut file = std::fs::File::create_new(file).map_err(|error| format!("{}: {error}", file.display()))?;
     std::io::Write::write_all(&mut file, template(application).as_bytes())?;
     Ok(())
--- a/src/runtime/inputs.rs
+++ b/src/runtime/inputs.rs
@@ -76,7 +76,7 @@
         self.max_held = settings.max_held as usize;
         self.settings = settings;
         self.vocabulary.send_replace(Vocabulary::new(&classes, &self.settings.classes, &tenants));
-        self.names.rename(classes, tenants);
+        self.names.replace_classes_and_tenants(classes, tenants);
         self.apply_settings();
     }
 
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire: its text lines to interface types, and actions back to lines. It decides nothing.
+//! The simulator's text protocol: parses its lines into interface types, and writes actions as lines.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -8,88 +8,88 @@
 
 use crate::interface::*;
 
-/// A line or setting that could not be read.
+/// A line or setting that cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
-    /// A value of a line is missing or is not what it should be.
+    /// A field of a line is missing or invalid.
     #[error("{line}: {field} is {found:?}, expected {expected}")]
     Field {
         /// First word of the line.
         line: String,
-        /// The value's name.
+        /// Name of the field.
         field: &'static str,
-        /// What stood there.
+        /// The value found.
         found: String,
-        /// What should.
+        /// Description of a valid value.
         expected: &'static str,
     },
-    /// The line's first word is not known.
-    #[error("unknown line {0:?}, expected an event of the wire")]
+    /// The first word of the line is unknown.
+    #[error("unknown line {0:?}, expected an event of the protocol")]
     UnknownLine(String),
-    /// A setting that is needed is missing.
+    /// A required setting is missing.
     #[error("setting {0} is missing")]
     MissingSetting(String),
-    /// A setting cannot be read.
+    /// A setting is invalid.
     #[error("setting {key} is {found:?}, expected {expected}")]
     Setting {
-        /// The setting's path.
+        /// Path of the setting.
         key: String,
-        /// What stood there.
+        /// The value found.
         found: String,
-        /// What should.
+        /// Description of a valid value.
         expected: &'static str,
     },
 }
 
-/// Reads the parts of one line in order.
+/// Reads the space-separated fields of one line in order.
 pub struct Fields<'a> {
     line: &'a str,
     rest: std::str::Split<'a, char>,
 }
 
 impl<'a> Fields<'a> {
-    /// The parts after the first word, and that word.
+    /// Splits a line into its first word and the fields after it.
     pub fn new(text: &'a str) -> Self {
         let mut rest = text.split(' ');
         let line = rest.next().unwrap_or_default();
         Fields { line, rest }
     }
 
-    /// The first word.
+    /// The first word of the line.
     pub fn line(&self) -> &'a str {
         self.line
     }
 
-    fn bad(&self, field: &'static str, found: &str, expected: &'static str) -> WireError {
+    fn invalid(&self, field: &'static str, found: &str, expected: &'static str) -> WireError {
         WireError::Field { line: self.line.to_string(), field, found: found.to_string(), expected }
     }
 
-    /// The next part, absent where it is `-` or the line has ended.
+    /// The next field; `None` if it is `-` or empty, or at the end of the line.
     pub fn optional(&mut self) -> Option<&'a str> {
         self.rest.next().filter(|part| *part != "-" && !part.is_empty())
     }
 
-    /// The next part, which must be there.
+    /// The next field, which is required.
     pub fn text(&mut self, field: &'static str) -> Result<&'a str, WireError> {
-        self.optional().ok_or_else(|| self.bad(field, "-", "a value"))
+        self.optional().ok_or_else(|| self.invalid(field, "-", "a value"))
     }
 
-    /// The next part as a number, which must be there.
+    /// The next field as a number, which is required.
     pub fn number<T: FromStr>(&mut self, field: &'static str) -> Result<T, WireError> {
         let part = self.text(field)?;
-        part.parse().map_err(|_| self.bad(field, part, "a number"))
+        part.parse().map_err(|_| self.invalid(field, part, "a number"))
     }
 
-    /// The next part as a number, if there is one.
+    /// The next field as a number, if it is present.
     pub fn maybe<T: FromStr>(&mut self, field: &'static str) -> Result<Option<T>, WireError> {
         match self.optional() {
             None => Ok(None),
-            Some(part) => part.parse().map(Some).map_err(|_| self.bad(field, part, "a number or -")),
+            Some(part) => part.parse().map(Some).map_err(|_| self.invalid(field, part, "a number or -")),
         }
     }
 }
 
-/// An entry of a `LIST`, before an instance reads it by its settings.
+/// An entry of a `LIST`, before its kind and zone are resolved by the settings of an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RawEntry {
     kind: String,
@@ -108,7 +108,7 @@
             "in_service" => Listed::InService,
             "terminating" => Listed::Draining,
             "terminated" => Listed::Gone,
-            other => return Err(fields.bad("Health", other, "in_service, terminating or terminated")),
+            other => return Err(fields.invalid("Health", other, "in_service, terminating or terminated")),
         };
         let cell = fields.number("Cell")?;
         fields.optional();
@@ -118,22 +118,23 @@
         Ok(RawEntry { kind, listed, cell, zone, scale, target })
     }
 
-    /// An entry that came in another form than an `ENTRY` line.
+    /// Creates an entry from a source other than an `ENTRY` line.
     pub fn new(kind: String, listed: Listed, cell: i64, zone: String, scale: f64, target: String) -> Self {
         RawEntry { kind, listed, cell, zone, scale, target }
     }
 
-    /// Whether it takes new work.
+    /// The state in which discovery lists the endpoint.
     pub fn listed(&self) -> Listed {
         self.listed
     }
 
-    /// The destination's number.
+    /// Number of the destination.
     pub fn cell(&self) -> i64 {
         self.cell
     }
 }
 
+/// Settings as `key=value` pairs.
 struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> Pairs<'a> {
@@ -141,16 +142,16 @@
         self.0.get(key).copied().filter(|v| *v != "-")
     }
 
-    fn need(&self, key: &str) -> Result<&'a str, WireError> {
+    fn required(&self, key: &str) -> Result<&'a str, WireError> {
         self.get(key).ok_or_else(|| WireError::MissingSetting(key.to_string()))
     }
 
     fn read<T: FromStr>(&self, key: &str, text: &str) -> Result<T, WireError> {
-        text.parse().map_err(|_| bad_setting(key, text, "a number or a bool"))
+        text.parse().map_err(|_| invalid_setting(key, text, "a number or a bool"))
     }
 
     fn number<T: FromStr>(&self, key: &str) -> Result<T, WireError> {
-        self.read(key, self.need(key)?)
+        self.read(key, self.required(key)?)
     }
 
     fn maybe<T: FromStr>(&self, key: &str) -> Result<Option<T>, WireError> {
@@ -171,11 +172,11 @@
     }
 }
 
-fn bad_setting(key: &str, found: &str, expected: &'static str) -> WireError {
+fn invalid_setting(key: &str, found: &str, expected: &'static str) -> WireError {
     WireError::Setting { key: key.to_string(), found: found.to_string(), expected }
 }
 
-/// The names of one instance: what its settings call things, and the ids that it has met.
+/// Maps names to the numbers of one instance: those in its settings, and the ids seen since.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Names {
     classes: Vec<String>,
@@ -184,14 +185,17 @@
     tenants: Vec<String>,
     targets: BTreeMap<String, TargetId>,
     target_names: BTreeMap<TargetId, String>,
-    targets_met: u32,
+    #[serde(rename = "targets_met")]
+    target_count: u32,
     messages: BTreeMap<String, MessageId>,
-    /// Name, open, attempts out: forgotten when it is neither open nor out.
+    /// Name, whether the message is open, and attempts in flight. Removed when the message is not open and no attempt is in
+    /// flight.
     open: BTreeMap<MessageId, (String, bool, u32)>,
-    met: u64,
+    #[serde(rename = "met")]
+    message_count: u64,
 }
 
-/// Reads the settings of an `OPEN_INSTANCE` line.
+/// Parses the settings of an `OPEN_INSTANCE` line.
 pub fn settings(text: &str) -> Result<(Settings, Names), WireError> {
     let pairs = Pairs(text.split(' ').filter_map(|pair| pair.split_once('=')).collect());
     let mut names = Names {
@@ -202,8 +206,8 @@
     let mut classes = Vec::new();
     for i in 0..pairs.count("Classes")? {
         let at = |name: &str| format!("Classes.{i}.{name}");
-        names.classes.push(pairs.need(&at("Name"))?.to_string());
-        let effect = match pairs.need(&at("Idempotency"))? {
+        names.classes.push(pairs.required(&at("Name"))?.to_string());
+        let effect = match pairs.required(&at("Idempotency"))? {
             "idempotent" => Effect::Safe,
             "at_most_once" => Effect::Unsafe,
             "deduplicated" => Effect::Keyed {
@@ -212,12 +216,12 @@
                     "all" => Group::All,
                     "zone" => Group::Zone,
                     "cell" => Group::Cell,
-                    other => return Err(bad_setting(&at("Group"), other, "all, zone or cell")),
+                    other => return Err(invalid_setting(&at("Group"), other, "all, zone or cell")),
                 },
             },
             other => {
                 let expected = "idempotent, deduplicated or at_most_once";
-                return Err(bad_setting(&at("Idempotency"), other, expected));
+                return Err(invalid_setting(&at("Idempotency"), other, expected));
             }
         };
         classes.push(Class {
@@ -231,7 +235,7 @@
     }
     let mut tenants = Vec::new();
     for i in 0..pairs.count("Tenants")? {
-        names.tenants.push(pairs.need(&format!("Tenants.{i}.Name"))?.to_string());
+        names.tenants.push(pairs.required(&format!("Tenants.{i}.Name"))?.to_string());
         tenants.push(Tenant { quota: pairs.number(&format!("Tenants.{i}.QuotaPerS"))? });
     }
     let apart: Vec<bool> = pairs.numbers("Domain.KindApart")?;
@@ -242,10 +246,10 @@
             batch: batch.get(i).copied().unwrap_or(1),
         })
         .collect();
-    let asked = match pairs.get("Discovery").unwrap_or("push") {
+    let asks_for_list = match pairs.get("Discovery").unwrap_or("push") {
         "push" => false,
         "ask" => true,
-        other => return Err(bad_setting("Discovery", other, "push or ask")),
+        other => return Err(invalid_setting("Discovery", other, "push or ask")),
     };
     let settings = Settings {
         classes,
@@ -255,7 +259,7 @@
         late: match pairs.get("Domain.Late").unwrap_or("even") {
             "even" => LateForm::Even,
             "by_half" => LateForm::Halves,
-            other => return Err(bad_setting("Domain.Late", other, "even or by_half")),
+            other => return Err(invalid_setting("Domain.Late", other, "even or by_half")),
         },
         slots: pairs.number("Domain.MaxCalls")?,
         max_held: pairs.number("Limits.OpenCap")?,
@@ -274,7 +278,7 @@
         stewards: false,
         repeats: false,
         shares: false,
-        ask_every: if asked { Some(pairs.number("Rules.AskEveryUs")?) } else { None },
+        ask_every: if asks_for_list { Some(pairs.number("Rules.AskEveryUs")?) } else { None },
         zone_fee: pairs.numbers("Domain.FeeByZone")?,
         rules: RuleFigures {
             cold_from: pairs.number("Rules.ColdFrom")?,
@@ -298,7 +302,7 @@
         "econnreset" => Outcome::Reset,
         "ecanceled" => Outcome::Cancelled,
         "skipped" => Outcome::Skipped,
-        other => return Err(fields.bad("How", other, "an outcome of the wire")),
+        other => return Err(fields.invalid("How", other, "an outcome of the protocol")),
     })
 }
 
@@ -319,56 +323,57 @@
         list.iter().position(|known| known == name)
     }
 
-    /// The class of that name.
+    /// Index of the class with this name.
     pub fn class(&self, name: &str) -> Option<usize> {
         Self::index(&self.classes, name)
     }
 
-    /// The tenant of that name.
+    /// Index of the tenant with this name.
     pub fn tenant(&self, name: &str) -> Option<usize> {
         Self::index(&self.tenants, name)
     }
 
-    /// The names of the classes, in the order of the settings.
+    /// Names of the classes, in the order of the settings.
     pub fn classes(&self) -> &[String] {
         &self.classes
     }
 
-    /// Other classes and tenants.
-    pub fn rename(&mut self, classes: Vec<String>, tenants: Vec<String>) {
+    /// Replaces the names of the classes and tenants.
+    pub fn replace_classes_and_tenants(&mut self, classes: Vec<String>, tenants: Vec<String>) {
         (self.classes, self.tenants) = (classes, tenants);
     }
 
-    /// The names of the tenants, in the order of the settings; empty at a site without.
+    /// Names of the tenants, in the order of the settings. Empty where none are configured.
     pub fn tenants(&self) -> &[String] {
         &self.tenants
     }
 
-    /// The number of the endpoint of that name, new if it was not met before.
+    /// Number of the endpoint with this name. An unknown name gets a new number.
     pub fn target(&mut self, name: &str) -> TargetId {
         if let Some(id) = self.targets.get(name) {
             return *id;
         }
-        let id = TargetId(self.targets_met);
-        self.targets_met += 1;
+        let id = TargetId(self.target_count);
+        self.target_count += 1;
         self.target_names.insert(id, name.to_string());
         self.targets.insert(name.to_string(), id);
         id
     }
 
-    /// The name of an endpoint.
+    /// Name of an endpoint, if it is known.
     pub fn target_name(&self, target: TargetId) -> Option<&str> {
         self.target_names.get(&target).map(String::as_str)
     }
 
-    /// Forgets an endpoint that is gone. Listed once more, it gets a new number.
+    /// Removes an endpoint that is no longer listed. If it is listed again, it gets a new number.
     pub fn forget(&mut self, target: TargetId) {
         if let Some(name) = self.target_names.remove(&target) {
             self.targets.remove(&name);
         }
     }
 
-    fn settle(&mut self, id: MessageId) {
+    /// Removes a message that is not open and has no attempt in flight.
+    fn forget_if_unused(&mut self, id: MessageId) {
         if let Some((name, open, out)) = self.open.get(&id)
             && !open
             && *out == 0
@@ -378,7 +383,7 @@
         }
     }
 
-    /// The list as this instance understands it.
+    /// Resolves the entries of a list by the settings of this instance.
     pub fn entries(&mut self, raw: &[RawEntry]) -> Result<Vec<Entry>, WireError> {
         raw.iter()
             .map(|entry| {
@@ -400,22 +405,22 @@
             .collect()
     }
 
-    /// Reads an event of this instance, whose number has been read already. `None` where the line is known
-    /// but tells the module nothing: it concerns an id that is not held, or a feature that is not in use.
+    /// Parses an event of this instance, whose number has already been read. `None` where the line is valid but has no
+    /// event for the module: it concerns an unknown message id, or a feature that is not in use.
     pub fn event(&mut self, fields: &mut Fields) -> Result<Option<Event>, WireError> {
         match fields.line() {
             "ARRIVAL" => {
                 let name = fields.text("Rid")?;
                 let class = fields.text("Category")?;
                 let class = Self::index(&self.classes, class)
-                    .ok_or_else(|| fields.bad("Category", class, "a class of the settings"))?;
+                    .ok_or_else(|| fields.invalid("Category", class, "a class of the settings"))?;
                 let tenant = fields.optional().and_then(|tenant| Self::index(&self.tenants, tenant));
                 let key = fields.optional().map(Into::into);
                 let due = fields.number("DueUs")?;
                 let _hint: Option<i64> = fields.maybe("HintUs")?;
                 let destination = DestinationId(fields.number("CalledNode")?);
-                self.met += 1;
-                let id = MessageId(self.met);
+                self.message_count += 1;
+                let id = MessageId(self.message_count);
                 self.messages.insert(name.to_string(), id);
                 self.open.insert(id, (name.to_string(), true, 0));
                 Ok(Some(Event::Arrival(Arrival { id, class, tenant, key, due, destination })))
@@ -439,7 +444,7 @@
                     state.1 &= !over;
                     state.2 = state.2.saturating_sub(1);
                 }
-                self.settle(id);
+                self.forget_if_unused(id);
                 let verdict = if over { Verdict::Over } else { outcome.verdict() };
                 Ok(Some(Event::Done(Done { id, attempt, target, outcome, took, verdict, report })))
             }
@@ -449,7 +454,7 @@
                 if let Some(state) = self.open.get_mut(&id) {
                     state.1 = false;
                 }
-                self.settle(id);
+                self.forget_if_unused(id);
                 Ok(Some(Event::Gone(id)))
             }
             "ALARM" => Ok(Some(Event::Timer(fields.number("Handle")?))),
@@ -480,8 +485,9 @@
             Action::Refuse { id, after: None } => writeln!(out, "SAY_NO {who} {} -", name(id)),
             Action::Fail(id) => writeln!(out, "ERROR {who} {}", name(id)),
             Action::Timer { token, after } => writeln!(out, "SLEEP {who} {token} {after}"),
-            Action::WantRepeats { .. } => Ok(()), // Nor a budget for repeats.
-            Action::Want { .. } => Ok(()), // The simulator's wire knows no stewards, and its settings ask none.
+            // The simulator's protocol has neither limit coordinators nor a shared retry budget.
+            Action::WantRepeats { .. } => Ok(()),
+            Action::Want { .. } => Ok(()),
             Action::Probe(to) => writeln!(out, "TOUCH {who} {}", target(to)),
             Action::Close(to) => writeln!(out, "RELEASE {who} {}", target(to)),
             Action::Watch => writeln!(out, "STREAM_CHANGES {who} 1"),
@@ -496,7 +502,7 @@
                 if let Some(state) = self.open.get_mut(id) {
                     state.1 = false;
                 }
-                self.settle(*id);
+                self.forget_if_unused(*id);
             }
             _ => {}
         }
--- a/tests/as2.rs
+++ b/tests/as2.rs
@@ -21,7 +21,7 @@
 use openssl::rsa::Rsa;
 use openssl::x509::{X509, X509NameBuilder};
 use stand::*;
-use tulipfall::as2::{Disposition, report, sign, verify};
+use tulipfall::as2::{Disposition, disposition_report, sign, verify};
 
 type Key = (PKey<Private>, X509);
 
@@ -189,7 +189,7 @@
                 _ => mic(&part),
             };
             let key = if matches!(mood, Mood::WrongSigner) { &self.stranger } else { &self.key };
-            let report = report("HOUSE", &id, &said, "processed").expect("a report");
+            let report = disposition_report("HOUSE", &id, &said, "processed").expect("a report");
             let asynchronous = request.header("Receipt-Delivery-Option").is_some();
             match mood {
                 Mood::HangUp => return,
@@ -401,7 +401,7 @@
                     let kind = answer.header("Content-Type").unwrap_or_default();
                     let receipt = verify(kind, &answer.body, &relay).expect("the relay's signature");
                     let said = Disposition::read(&receipt).expect("a receipt");
-                    said.proves(&mic(&part)).expect("what was sent");
+                    said.check_processed(&mic(&part)).expect("what was sent");
                     if let Some(first) = &first {
                         assert_eq!(first, &answer.body, "a duplicate gets the same receipt");
                         break;
@@ -493,7 +493,8 @@
         let kind = heard.header("Content-Type").unwrap_or_default();
         let part = verify(kind, &heard.body, &self.names[0].1).expect("the relay's signature");
         let id = heard.header("Message-ID").unwrap_or_default();
-        let report = report("HOUSE", id, &mic(mic_of.unwrap_or(&part)), "processed").expect("a report");
+        let report =
+            disposition_report("HOUSE", id, &mic(mic_of.unwrap_or(&part)), "processed").expect("a report");
         self.post(&post("HOUSE", "RELAY", "<mdn@house>", "", &report, key))
     }
 
@@ -607,7 +608,7 @@
     let first = receipt();
     let kind = first.header("Content-Type").unwrap_or_default();
     let said = Disposition::read(&verify(kind, &first.body, &scene.names[0].1).expect("signed"));
-    said.expect("a receipt").proves(&mic(&part)).expect("for what was sent");
+    said.expect("a receipt").check_processed(&mic(&part)).expect("for what was sent");
     assert_eq!(receipt(), first);
     let mut endpoint = accept(&scene.plain);
     assert_eq!(hear(&mut endpoint).expect("a call").body, b"a charge");
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Wire lines to interface types and back.
+//! The simulator's text protocol: lines are parsed into interface types, and actions are written as lines.
 
 use tulipfall::interface::*;
 use tulipfall::wire::{self, Fields, Names, RawEntry};
@@ -19,8 +19,8 @@
     wire::settings(SETTINGS).expect("readable")
 }
 
-/// An instance that knows target `10.0.0.1:9` and holds message `c:1`.
-fn busy() -> Names {
+/// An instance with the endpoint `10.0.0.1:9` and the message `c:1`.
+fn instance_with_message() -> Names {
     let (_, mut names) = instance();
     let entry =
         RawEntry::parse(&mut Fields::new("ENTRY lines in_service 57 - a 1.5 10.0.0.1:9")).expect("entry");
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn settings_are_read_and_unknown_keys_passed_over() {
+fn settings_are_parsed_and_unknown_keys_are_ignored() {
     let (settings, _) = instance();
     assert_eq!(settings.classes[0].effect, Effect::Keyed { window: 5_000_000, group: Group::Zone });
     assert_eq!(settings.classes[1].effect, Effect::Unsafe);
@@ -52,19 +52,19 @@
 }
 
 #[test]
-fn a_missing_or_unreadable_setting_is_named() {
+fn an_error_names_the_missing_or_invalid_setting() {
     let without = SETTINGS.replace("Domain.MaxCalls=11", "");
     assert_eq!(wire::settings(&without).unwrap_err().to_string(), "setting Domain.MaxCalls is missing");
-    let odd = SETTINGS.replace("Limits.OpenCap=200", "Limits.OpenCap=many");
-    let message = wire::settings(&odd).unwrap_err().to_string();
+    let invalid = SETTINGS.replace("Limits.OpenCap=200", "Limits.OpenCap=many");
+    let message = wire::settings(&invalid).unwrap_err().to_string();
     assert!(message.contains("Limits.OpenCap") && message.contains("many"), "{message}");
-    let odd = SETTINGS.replace("at_most_once", "sometimes");
-    let message = wire::settings(&odd).unwrap_err().to_string();
+    let invalid = SETTINGS.replace("at_most_once", "sometimes");
+    let message = wire::settings(&invalid).unwrap_err().to_string();
     assert!(message.contains("Classes.1.Idempotency") && message.contains("at_most_once"), "{message}");
 }
 
 #[test]
-fn events_are_read() {
+fn events_are_parsed() {
     let (_, mut names) = instance();
     let Some(Event::Arrival(arrival)) = event(&mut names, "ARRIVAL 3 c:1 update north k 8652250 12000 57 1")
     else {
@@ -73,7 +73,7 @@
     assert_eq!((arrival.class, arrival.tenant, arrival.due), (0, Some(0), 8_652_250));
     assert_eq!(arrival.key.as_deref(), Some("k"));
     assert_eq!(arrival.destination, DestinationId(57));
-    let mut names = busy();
+    let mut names = instance_with_message();
     let done = event(&mut names, "DONE 3 c:1 2 10.0.0.1:9 busy 18500 0 250 x0:0.5,x1:7.25,cpu:1");
     let expected = Done {
         id: MessageId(1),
@@ -87,13 +87,13 @@
     assert_eq!(done, Some(Event::Done(expected)));
     assert_eq!(event(&mut names, "ALARM 3 77"), Some(Event::Timer(77)));
     assert_eq!(event(&mut names, "HANGUP 3 c:1"), Some(Event::Gone(MessageId(1))));
-    assert_eq!(event(&mut names, "HANGUP 3 c:1"), None, "no longer held");
-    assert_eq!(event(&mut names, "DONE 3 c:9 0 10.0.0.1:9 done 5 1 - -"), None, "never held");
+    assert_eq!(event(&mut names, "HANGUP 3 c:1"), None, "the message is already closed");
+    assert_eq!(event(&mut names, "DONE 3 c:9 0 10.0.0.1:9 done 5 1 - -"), None, "the message is unknown");
 }
 
 #[test]
-fn malformed_lines_are_named() {
-    let mut names = busy();
+fn an_error_names_the_invalid_field_of_a_line() {
+    let mut names = instance_with_message();
     let mut error = |line: &str| {
         let mut fields = Fields::new(line);
         let _: u64 = fields.number("Who").expect("instance");
@@ -108,7 +108,7 @@
 
 #[test]
 fn actions_are_written() {
-    let mut names = busy();
+    let mut names = instance_with_message();
     let mut out = String::new();
     let id = MessageId(1);
     let actions = [
@@ -132,7 +132,7 @@
         "SAY_NO 3 c:1 9",
     ];
     assert_eq!(lines, expected);
-    // Its attempt is still out, so the name is kept for the outcome, and forgotten after it.
+    // The attempt is still in flight, so the message id is kept until its outcome arrives.
     assert!(event(&mut names, "DONE 3 c:1 0 10.0.0.1:9 done 5 1 - -").is_some());
     assert_eq!(event(&mut names, "DONE 3 c:1 0 10.0.0.1:9 done 5 1 - -"), None);
 }
