--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,5 +1,5 @@
-//! Configuration: every message names the faulty key. The cases stand in a text file, each an edit of the
-//! template or of the platform's object, and what comes of it in a snapshot.
+//! Configuration: each error names the key at fault. The cases are in text files, each an edit of the template or of the
+//! platform's JSON object; the results are in snapshots.
 
 mod stand;
 
@@ -17,9 +17,9 @@
 }
 
 #[test]
-fn the_template_can_be_used_and_each_fault_is_named() {
+fn the_template_is_valid_and_errors_name_the_key() {
     let file = folder("config").join("desk.toml");
-    let mut told = String::new();
+    let mut results = String::new();
     for case in include_str!("config/operator.txt").lines() {
         let (old, new) = case.split_once(" => ").unwrap_or(("", ""));
         let text = template("desk");
@@ -32,15 +32,15 @@
                 error.to_string().replace(&file.display().to_string(), "FILE").replace(&place, "PLACE")
             }
         };
-        let _ = writeln!(told, "{case}\n    {}", result.replace('\n', "\n    "));
+        let _ = writeln!(results, "{case}\n    {}", result.replace('\n', "\n    "));
     }
-    insta::assert_snapshot!("operator", told);
+    insta::assert_snapshot!("operator", results);
 }
 
 #[test]
-fn the_platforms_object_is_read_and_each_fault_is_named() {
+fn the_platform_configuration_is_valid_and_errors_name_the_key() {
     let object: Value = serde_json::from_str(include_str!("config/platform.json")).expect("JSON");
-    let mut told = String::new();
+    let mut results = String::new();
     for case in include_str!("config/platform.txt").lines() {
         let (pointer, new) = case.split_once(" => ").expect("a case");
         let mut object = object.clone();
@@ -59,13 +59,13 @@
             }
             Err(error) => error.to_string(),
         };
-        let _ = writeln!(told, "{case}\n    {result}");
+        let _ = writeln!(results, "{case}\n    {result}");
     }
-    insta::assert_snapshot!("platform", told);
+    insta::assert_snapshot!("platform", results);
 }
 
 #[test]
-fn the_environment_goes_first() {
+fn the_environment_takes_precedence() {
     let object: Value = serde_json::from_str(include_str!("config/platform.json")).expect("JSON");
     let environment = |name: &str| match name {
         "PROXY_NAME" => Some("other".to_string()),
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn the_tool_writes_a_file_once_and_checks_each_that_it_is_given() {
+fn config_init_never_overwrites_and_config_check_checks_each_file() {
     let place = folder("config-tool");
     let tool = |arguments: &[&str]| {
         let output =
@@ -87,20 +87,20 @@
         (output.status.success(), String::from_utf8_lossy(&output.stdout).into_owned())
     };
     assert!(tool(&["config", "init", "desk"]).0);
-    assert!(!tool(&["config", "init", "desk"]).0, "never over a file that is there");
+    assert!(!tool(&["config", "init", "desk"]).0, "an existing file is not overwritten");
     assert!(!tool(&["config", "init", "../desk"]).0);
     assert_eq!(tool(&["config", "check", "desk.toml"]), (true, "desk.toml: desk can be used\n".into()));
     std::fs::write(place.join("bad.toml"), "name = 3\n").expect("a file");
-    let (fine, told) = tool(&["config", "check", "desk.toml", "bad.toml"]);
-    assert_eq!((fine, told.lines().last()), (false, Some("bad.toml: name: is not a text")));
+    let (fine, results) = tool(&["config", "check", "desk.toml", "bad.toml"]);
+    assert_eq!((fine, results.lines().last()), (false, Some("bad.toml: name: is not a text")));
     assert!(!tool(&["no", "such", "command"]).0);
 }
 
 #[test]
-fn the_files_that_the_repository_brings_can_be_used() {
+fn the_configuration_files_in_the_repository_are_valid() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR"));
     Config::load_file(&root.join("example/relay.toml"), none).expect("the example");
-    // The deploy file needs an operator's keys: without them it says which.
+    // The deployment files need keys that the operator provides; the error names the missing file.
     let deploy = root.join("deploy/muscat-checkin-as2.toml");
     let error = Config::load_file(&deploy, none).expect_err("no keys").to_string();
     assert!(error.starts_with("as2.key: ") && error.contains("sahil-relay.key.pem"), "{error}");
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn notes_are_off_on_the_platform_unless_the_environment_says_so() {
+fn observations_are_exchanged_on_the_platform_only_if_the_environment_enables_them() {
     let mut object: Value = serde_json::from_str(include_str!("config/platform.json")).expect("JSON");
     let read = |object: &Value, notes: Option<&str>| {
         Config::read(object, |name| match name {
@@ -126,19 +126,19 @@
     assert!(off.fleet.is_none() && read(&object, Some("off")).expect("sound").fleet.is_none());
     let error = |object: &Value, notes| read(object, Some(notes)).expect_err("a fault").to_string();
     assert!(error(&object, "maybe").starts_with("TULIPFALL_NOTES"));
-    assert!(error(&object, "on").starts_with("settings.MyNumber"), "who it is has to be told");
+    assert!(error(&object, "on").starts_with("settings.MyNumber"), "the relay's own number is required");
     object["settings"]["MyNumber"] = 0.into();
     let on = read(&object, Some("on")).expect("sound");
     let fleet = on.fleet.as_ref().expect("notes");
     assert_eq!((fleet.me, fleet.all.len(), fleet.listen.port()), (0, 1, 7946));
-    assert!(fleet.observations.is_some() && fleet.permits.is_none(), "one relay alone shares no limit");
-    // The snapshot and the one that takes its place are inside the disk.
+    assert!(fleet.observations.is_some() && fleet.permits.is_none(), "a single relay shares no limit");
+    // The disk limit covers the journal, the snapshot and its replacement.
     assert!(on.journal_room().limit + 2 * on.snapshot_room() <= on.limits.disk);
     assert!(on.journal_room().limit < off.journal_room().limit);
 }
 
 #[test]
-fn permits_and_notes_of_facts_are_on_together_and_how_limits_are_shared_is_told() {
+fn shared_limits_and_observations_are_enabled_independently() {
     let mut object: Value = serde_json::from_str(include_str!("config/platform.json")).expect("JSON");
     object["settings"]["MyNumber"] = 1.into();
     object["settings"]["Limits"]["Peers"] = true.into();
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn the_budget_for_repeats_is_shared_where_that_is_said_and_nowhere_else() {
+fn the_retry_budget_is_shared_only_if_the_environment_enables_it() {
     let mut object: Value = serde_json::from_str(include_str!("config/platform.json")).expect("JSON");
     object["settings"]["MyNumber"] = 1.into();
     object["settings"]["Limits"]["Peers"] = true.into();
@@ -185,8 +185,8 @@
     assert!(error.starts_with("TULIPFALL_REPEATS") && error.contains("shared or off"), "{error}");
 }
 
-/// Reads the operator's file with the distribution of the destination set, after an edit, in a folder of the calling
-/// test's own: tests run side by side, and each empties its folder first.
+/// Reads the deployment file with a replicated destination set, after an edit. Each test uses its own folder, because tests run
+/// in parallel and each empties its folder first.
 fn read_distribution(folder_name: &str, old: &str, new: &str) -> Result<Config, String> {
     let place = folder(folder_name);
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR"));
@@ -199,15 +199,15 @@
 }
 
 #[test]
-fn the_distribution_of_the_destination_set_is_set_up_by_a_table_and_each_fault_is_named() {
+fn the_table_for_a_replicated_destination_set_is_read_and_errors_name_the_key() {
     let place = "config-distribution";
     let config = read_distribution(place, "", "").expect("sound");
     let distribution = config.fleet.as_ref().and_then(|fleet| fleet.distribution.as_ref()).expect("set up");
     assert_eq!(distribution.controls.len(), 3);
-    // A sixteenth of the disk for each of two files, and the rest is shared as ever.
+    // Each of two files gets a sixteenth of the disk limit; the rest is divided as without them.
     assert_eq!((distribution.file_room, config.limits.disk), (16_000_000, 256_000_000));
-    // SQLite takes five eighths of what the two files leave, the journal a quarter less that of snapshots of facts and of the
-    // clock, which has 1,024 bytes.
+    // Of what the two files leave, SQLite gets five eighths. The journal gets a quarter, after the observation snapshots and the
+    // 1,024 bytes of the clock are subtracted.
     let record = config.record.as_ref().expect("a record");
     let Target::Sqlite { most_bytes, .. } = &record.target else { panic!("another record") };
     assert_eq!((*most_bytes, config.journal_room().limit), (Some(140_000_000), 51_999_744));
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn the_distribution_of_the_destination_set_needs_peers_control_machines_and_zones() {
+fn a_replicated_destination_set_requires_peers_control_machines_and_zones() {
     let place = folder("config-distribution-parts");
     let file = place.join("desk.toml");
     let key = "72a46be3bd9848afd1d5c94e495aa1f57c24bcb4006f959de6e94995afafab44";
@@ -308,7 +308,7 @@
     assert!(fault(&[zone, peers]).starts_with("configuration.control: is missing"));
     assert!(fault(&[control, peers]).starts_with("configuration.zone: is missing"));
     assert!(read(&[zone, control, peers]).expect("sound").fleet.is_some());
-    // The list of destinations is a base for the first start, which is not needed.
+    // The list of destinations is only the base of the first start, and is optional here.
     let text = template("desk");
     let (before, list) = text.split_once("[[destination]]").expect("a list");
     let (_, after) = list.split_once("\n\n").expect("the end of the table");
@@ -320,19 +320,19 @@
     assert!(
         Config::load_file(&file, none).expect_err("none").to_string().starts_with("destination: is missing")
     );
-    // Without the table nothing of it is on.
+    // Without the table there is no replication.
     std::fs::write(&file, [&template("desk"), peers].concat()).expect("a file");
     let config = Config::load_file(&file, none).expect("sound");
     assert!(config.fleet.expect("a fleet").distribution.is_none());
 }
 
-/// The file of a control machine that the repository brings, beside its keys.
+/// The deployment file of a control machine, with keys for the test.
 fn deployed_control() -> control::shell::config::Config {
     let place = folder("config-control");
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR"));
     let name = "muscat-checkin-control.toml";
     let text = std::fs::read_to_string(root.join("deploy").join(name)).expect("the file");
-    // The public key of the example is of no known key: that of a test takes its place.
+    // No private key belongs to the public key in the example, so that of a test key replaces it.
     let example = "72a46be3bd9848afd1d5c94e495aa1f57c24bcb4006f959de6e94995afafab44";
     assert!(text.contains(example));
     let public = "ea4a6c63e29c520abef5507b132ec5f9954776aebebe7b92421eea691446d22c";
@@ -343,13 +343,13 @@
 }
 
 #[test]
-fn the_files_of_relays_and_control_machines_fit_each_other() {
+fn the_deployment_files_of_relays_and_control_machines_are_consistent() {
     let relay = read_distribution("config-distribution-fit", "", "").expect("sound").fleet.expect("a fleet");
     let distribution = relay.distribution.as_ref().expect("set up");
     let control = deployed_control();
     let machines = |topology: &rollout::topology::Topology| topology.machines().copied().collect::<Vec<_>>();
     assert_eq!(machines(&control.topology), machines(&distribution.topology));
-    // Notes of all machines go where the others listen, signed by the same keys.
+    // All machines have the same addresses and keys for the peer links.
     let links: Vec<_> = relay.all.iter().chain(&distribution.controls).copied().collect();
     let mut control_links = control.links.clone();
     control_links.insert(control.me.peer, control.me.link);
@@ -358,7 +358,7 @@
         keys.0.iter().map(|key| (key.id, key.bytes.clone())).collect()
     };
     assert_eq!(keys(&control.link_keys), keys(&relay.keys));
-    // The tables that have to be the same are so to the letter.
+    // The tables that must agree are identical.
     let common = |name: &str| {
         let text = std::fs::read_to_string(format!("{}/deploy/{name}", env!("CARGO_MANIFEST_DIR")));
         let table: toml::Table = text.expect("the file").parse().expect("TOML");
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,5 +1,5 @@
-//! What operators do with a running relay: its door, and a drain, over sockets with the real program. Nothing sleeps:
-//! a step waits for an answer, a line of the log, or the end of a connection.
+//! Operating a running relay through its admin endpoint, drains and reloads, with the real program over sockets. Tests do not
+//! sleep: each step waits for an answer, a line of the log, or the end of a connection.
 
 mod stand;
 
@@ -24,24 +24,24 @@
     ask(&mut connect(listen), call).expect("an answer").status()
 }
 
-/// Waits until the other side ends the connection; what it still says.
-fn rest(mut stream: TcpStream) -> Vec<u8> {
+/// Reads until the other side closes the connection, and returns the bytes received.
+fn read_to_close(mut stream: TcpStream) -> Vec<u8> {
     let mut bytes = Vec::new();
     stream.read_to_end(&mut bytes).expect("an end that is no reset");
     bytes
 }
 
 #[test]
-fn the_door_answers_in_time_beside_half_calls_and_a_flood_of_clients() {
+fn the_admin_endpoint_answers_despite_incomplete_requests_and_a_flood_of_clients() {
     let endpoint = TcpListener::bind("127.0.0.1:0").expect("a socket");
     let at = endpoint.local_addr().expect("an address").to_string();
     let program = start(&folder("ops-door"), &configuration(&[at]));
-    // Half calls that would keep every place, and more of them than there are places.
-    let mut half: Vec<TcpStream> = (0..100).map(|_| connect(&program.door)).collect();
-    for stream in &mut half {
+    // Incomplete requests, more than the admin endpoint has connections for.
+    let mut incomplete: Vec<TcpStream> = (0..100).map(|_| connect(&program.door)).collect();
+    for stream in &mut incomplete {
         let _ = stream.write_all(b"GET /status HTTP/1.1\r\nHo");
     }
-    // Clients that hold every place of theirs, and one that never stops handing in.
+    // Idle clients that use up all client connections, and one that submits messages without pause.
     let silent: Vec<TcpStream> = (0..120).map(|_| connect(&program.addresses[0])).collect();
     let listen = program.addresses[0].clone();
     let (stop, stopped) = std::sync::mpsc::channel::<()>();
@@ -57,8 +57,8 @@
         }
         0
     });
-    // On a busy machine the door could otherwise have answered everything before the flood has begun.
-    begun.recv_timeout(Duration::from_secs(20)).expect("the flood begins");
+    // Otherwise, on a loaded machine, all requests could be answered before the flood starts.
+    begun.recv_timeout(Duration::from_secs(20)).expect("the flood starts");
     for _ in 0..20 {
         let (status, body) = order(&program.door, "GET", "/status");
         assert_eq!((status, &body["state"], &body["ready"]), (200, &json!("active"), &json!(true)));
@@ -71,15 +71,15 @@
     assert_eq!(order(&program.door, "GET", "/elsewhere").0, 404);
     stop.send(()).expect("the flood runs");
     assert!(flood.join().expect("the flood ends") > 0);
-    drop((half, silent));
-    // What cannot be read, and what is too large, gets an answer too.
+    drop((incomplete, silent));
+    // Malformed and oversized requests also get an answer.
     let answer = |bytes: &[u8]| ask(&mut connect(&program.door), bytes).expect("an answer").status();
     assert_eq!(answer(b"noise\r\n\r\n"), 400);
     assert_eq!(answer(b"POST /standby HTTP/1.1\r\nContent-Length: 99999\r\n\r\n"), 413);
 }
 
 #[test]
-fn a_drain_ends_every_kept_connection_with_each_request_answered_and_can_be_undone() {
+fn a_drain_closes_persistent_connections_after_answering_each_request_and_can_be_undone() {
     let endpoint = TcpListener::bind("127.0.0.1:0").expect("a socket");
     let at = endpoint.local_addr().expect("an address").to_string();
     let program = start(&folder("ops-drain"), &configuration(&[at]));
@@ -88,9 +88,9 @@
     let mut used = connect(&listen);
     assert_eq!(ask(&mut used, &hand("m1")).expect("an answer").status(), 202);
     let untouched = connect(&listen);
-    let mut half = connect(&listen);
+    let mut incomplete = connect(&listen);
     let bytes = hand("m2");
-    half.write_all(&bytes[..bytes.len() - 3]).expect("written");
+    incomplete.write_all(&bytes[..bytes.len() - 3]).expect("written");
     let idle: Vec<TcpStream> = (0..40)
         .map(|n| {
             let mut stream = connect(&listen);
@@ -102,20 +102,22 @@
     let began = Instant::now();
     assert_eq!(order(&program.door, "POST", "/standby").0, 200);
     assert_eq!(ready(&listen), 503);
-    let idle: Vec<_> =
-        idle.into_iter().map(|stream| std::thread::spawn(move || (rest(stream), began.elapsed()))).collect();
-    // What still comes on kept connections is served, and ends them.
+    let idle: Vec<_> = idle
+        .into_iter()
+        .map(|stream| std::thread::spawn(move || (read_to_close(stream), began.elapsed())))
+        .collect();
+    // A request on a persistent connection is served, and its answer closes the connection.
     let heard = ask(&mut used, &hand("m3")).expect("an answer");
     assert_eq!((heard.status(), heard.header("Connection")), (202, Some("close")));
-    assert_eq!(rest(used), b"");
-    half.write_all(&bytes[bytes.len() - 3..]).expect("written");
-    let heard = hear(&mut half).expect("an answer");
+    assert_eq!(read_to_close(used), b"");
+    incomplete.write_all(&bytes[bytes.len() - 3..]).expect("written");
+    let heard = hear(&mut incomplete).expect("an answer");
     assert_eq!((heard.status(), heard.header("Connection")), (202, Some("close")));
-    // New ones are served too.
+    // New connections are served too.
     let mut new = connect(&listen);
     assert_eq!(ask(&mut new, &hand("m4")).expect("an answer").status(), 202);
-    assert_eq!(rest(new), b"");
-    assert_eq!(rest(untouched), b"");
+    assert_eq!(read_to_close(new), b"");
+    assert_eq!(read_to_close(untouched), b"");
     let mut ends: Vec<Duration> = idle
         .into_iter()
         .map(|end| {
@@ -125,15 +127,20 @@
         })
         .collect();
     ends.sort();
-    assert!(ends[39] < Duration::from_millis(3500), "all are gone in time: {:?}", ends[39]);
-    assert!(ends[39] - ends[0] > Duration::from_millis(500), "spread out: {:?} to {:?}", ends[0], ends[39]);
-    // What was taken on is held and delivered as ever.
+    assert!(ends[39] < Duration::from_millis(3500), "connections closed too late: {:?}", ends[39]);
+    assert!(
+        ends[39] - ends[0] > Duration::from_millis(500),
+        "closing times are not spread out: {:?} to {:?}",
+        ends[0],
+        ends[39]
+    );
+    // Accepted messages are still held and delivered.
     let mut call = accept(&endpoint);
     assert!(hear(&mut call).expect("a call").head.starts_with("POST /v1/messages"));
     let (status, body) = order(&program.door, "GET", "/status");
     assert_eq!((status, &body["state"]), (503, &json!("standby")));
     assert!(body["held"].as_u64() > Some(0));
-    // Undone: ready at once, and connections are kept again.
+    // Undone: the relay is ready at once, and connections are persistent again.
     assert_eq!(order(&program.door, "POST", "/active").0, 200);
     assert_eq!(ready(&listen), 200);
     let mut kept = connect(&listen);
@@ -143,7 +150,7 @@
     }
 }
 
-/// Replaces the configuration and has it read; waits until the log says what became of it.
+/// Replaces the configuration, requests a reload, and waits for the given log line.
 fn reload(program: &Program, folder: &Path, text: &str, logged: &str) {
     std::fs::write(folder.join("config.json"), text).expect("a file");
     program.signal("-HUP");
@@ -151,12 +158,12 @@
 }
 
 #[test]
-fn a_file_that_is_broken_in_any_way_changes_nothing_and_a_sound_one_then_does() {
+fn an_invalid_configuration_changes_nothing_and_a_valid_one_is_applied() {
     let endpoint = TcpListener::bind("127.0.0.1:0").expect("a socket");
     let folder = folder("ops-broken");
     let mut sound = configuration(&[endpoint.local_addr().expect("an address").to_string()]);
     let program = start(&folder, &sound);
-    // All that a broken file could take from it shows in what these two are answered.
+    // The answers for these classes show whether an invalid file has been applied, even in part.
     let mut client = connect(&program.addresses[0]);
     let mut classes = |id: &str| {
         let mut status = |class: &str| {
@@ -170,7 +177,7 @@
     class["Name"] = "newcomer".into();
     sound["settings"]["Classes"] = json!([sound["settings"]["Classes"][0], class]);
     let text = sound.to_string();
-    // Prefixes of a good file: all lengths around its keys' ends would do, a spread of them shows it.
+    // Truncated files: about 130 prefixes of a valid file, of evenly spaced lengths.
     let mut broken: Vec<String> =
         (0..text.len()).step_by(text.len() / 130).map(|n| text[..n].to_string()).collect();
     let mut with = |change: &dyn Fn(&mut Value)| {
@@ -216,7 +223,7 @@
 }
 
 #[test]
-fn a_message_keeps_the_class_that_it_came_in_under_through_reloads_and_a_restart() {
+fn a_message_keeps_the_class_of_its_acceptance_through_reloads_and_a_restart() {
     let endpoint = TcpListener::bind("127.0.0.1:0").expect("a socket");
     let folder = folder("ops-retuned");
     let old = configuration(&[endpoint.local_addr().expect("an address").to_string()]);
@@ -230,7 +237,7 @@
         let heard = hear(&mut call).expect("a call");
         (heard.header("X-Correlation-Id").unwrap_or_default().to_string(), call)
     };
-    // A charge is out as its class becomes repeatable, and a repeatable one as its class becomes stricter.
+    // The charge is in flight when its class becomes idempotent, and the update when its class becomes at-most-once.
     assert_eq!((hand("paid-extra", "c1"), hand("status-update", "s1")), (202, 202));
     let mut calls = [call(), call()];
     calls.sort_by(|a, b| a.0.cmp(&b.0));
@@ -238,34 +245,38 @@
     new["settings"]["Classes"][0]["Idempotency"] = "at_most_once".into();
     new["settings"]["Classes"][1]["Idempotency"] = "idempotent".into();
     reload(&program, &folder, &new.to_string(), "configuration read again");
-    // What went is unknown to new messages; a thousand more settings would change no more than these.
+    // New messages of a removed class are refused.
     let mut gone = new.clone();
     gone["settings"]["Classes"] = json!([new["settings"]["Classes"][0]]);
     reload(&program, &folder, &gone.to_string(), "configuration read again");
     assert_eq!((hand("paid-extra", "c2"), hand("status-update", "s2")), (404, 202));
     assert_eq!(call().0, "s2");
-    // The process dies with all three out: what each may do is in the journal, not in the file.
+    // The process is killed with three messages in flight. Whether each may be retried is in the journal, not in the file.
     program.kill();
     drop(calls);
     let program = start(&folder, &gone);
-    assert_eq!(call().0, "s1", "it came in as repeatable; the charge and the stricter one may have run");
+    assert_eq!(
+        call().0,
+        "s1",
+        "accepted as idempotent, so it is retried; the charge and the at-most-once update may have run"
+    );
     let (_, body) = order(&program.door, "GET", "/status");
-    assert_eq!(body["held"], json!(1), "the others ended at once: {body}");
+    assert_eq!(body["held"], json!(1), "the other messages ended at once: {body}");
 }
 
 #[test]
-fn a_relay_that_is_told_to_end_in_standby_ends_well() {
+fn a_relay_that_is_terminated_in_standby_exits_with_success() {
     let endpoint = TcpListener::bind("127.0.0.1:0").expect("a socket");
     let at = endpoint.local_addr().expect("an address").to_string();
     let mut program = start(&folder("ops-standby-term"), &configuration(&[at]));
     assert_eq!(order(&program.door, "POST", "/standby").0, 200);
     program.terminate();
-    assert_eq!(order(&program.door, "POST", "/active").0, 409, "it goes on ending");
+    assert_eq!(order(&program.door, "POST", "/active").0, 409, "the relay is still stopping");
     assert!(program.ended_well());
 }
 
 #[test]
-fn a_door_whose_address_is_malformed_is_named_at_the_start() {
+fn an_invalid_address_of_the_admin_endpoint_is_named_at_startup() {
     let file = folder("ops-malformed").join("config.json");
     std::fs::write(&file, configuration(&["127.0.0.1:9".into()]).to_string()).expect("a file");
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_tulipfall"))
@@ -273,6 +284,6 @@
         .env("PROXY_OPS", "9600")
         .output()
         .expect("the program runs");
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(!output.status.success() && said.contains("PROXY_OPS: is \"9600\""), "{said}");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(!output.status.success() && stderr.contains("PROXY_OPS: is \"9600\""), "{stderr}");
 }
