--- a/src/fleet/distribution/set_file.rs
+++ b/src/fleet/distribution/set_file.rs
@@ -53,7 +53,7 @@
     #[error(transparent)]
     Io(#[from] std::io::Error),
     /// It exceeds its size limit.
-    #[error("the file exceeds {0} bytes, which is what limits.disk_mb leaves for it")]
+    #[error("the file exceeds {0} bytes, which is all that limits.disk_mb leaves for it")]
     NoRoom(u64),
     /// The first part is longer than a signed change.
     #[error("the file does not begin with a signed change")]
@@ -68,10 +68,10 @@
     #[error(transparent)]
     Set(#[from] FileError),
     /// The signed change belongs to another version of the set.
-    #[error("the signed change does not match the set in the file")]
+    #[error("the signed change does not lead to this set")]
     ChangeMismatch,
     /// A newer version was written before.
-    #[error("version {got} is older than version {newest_written}, which was written before")]
+    #[error("version {got} is older than {newest_written}, which was written before")]
     Older {
         /// The version of the file.
         got: Version,
