--- a/crates/destinations/src/bucket.rs
+++ b/crates/destinations/src/bucket.rs
@@ -12,11 +12,11 @@
 /// The number of buckets of a set.
 pub const BUCKETS: usize = 1024;
 
-/// The most canonical bytes of one bucket. With it a set is bounded to 64 MiB of canonical bytes.
+/// Maximum number of canonical bytes of one bucket, which limits a set to 64 MiB of canonical bytes.
 pub const MAX_BUCKET_BYTES: usize = 64 * 1024;
 
-/// The bucket a destination is in: the top bits of its id after the finalizer of SplitMix64 (Steele, Lea and
-/// Flood 2014), so that ids given out in a row spread over all buckets.
+/// The bucket of a destination: the top bits of its id after the finalizer of SplitMix64 (Steele, Lea and Flood 2014), so
+/// that consecutive ids are spread over all buckets.
 pub fn bucket_of(id: DestinationId) -> u16 {
     let mut hash = id.0 as u64;
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -25,7 +25,7 @@
     (hash >> (u64::BITS - BUCKETS.ilog2())) as u16
 }
 
-/// The endpoints that some destinations shall have, by ascending id; none stands for removal.
+/// The new endpoints of some destinations, by ascending id. A destination without any is removed.
 pub(crate) type Replacements = BTreeMap<DestinationId, Vec<Endpoint>>;
 
 /// The destinations of one bucket, by ascending id.
@@ -73,7 +73,7 @@
         out
     }
 
-    /// What becomes of the destinations if this bucket takes the place of `before`.
+    /// The effect on the destinations if this bucket replaces `before`.
     pub(crate) fn changes_from(&self, before: &Self) -> Vec<DestinationChange> {
         let kept_or_added = self.iter().filter_map(|after| match before.get(after.id) {
             Some(held) if held.body() == after.body() => None,
@@ -100,7 +100,7 @@
         Ok(Self(destinations))
     }
 
-    /// Takes on the endpoints of one destination, or removes it if there are none.
+    /// Replaces the endpoints of one destination, or removes it if there are none.
     pub(crate) fn replace(&mut self, id: DestinationId, endpoints: &[Endpoint]) {
         let position = self.position(id);
         if endpoints.is_empty() {
@@ -113,7 +113,8 @@
         match position {
             Ok(position) => self.0[position] = destination,
             Err(position) => {
-                // Buckets are many and small: the slack of a doubled vector would cost a fifth of the set.
+                // Buckets are many and small: the spare capacity of a vector grown by doubling would add a fifth to the
+                // memory of the set.
                 self.0.reserve_exact(1);
                 self.0.insert(position, destination);
             }
@@ -121,14 +122,14 @@
     }
 }
 
-/// Why bytes are no bucket.
+/// Why bytes are not a valid bucket.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum BucketError {
     /// More than [`MAX_BUCKET_BYTES`].
     #[error("{0} bytes exceed {MAX_BUCKET_BYTES}")]
     TooLarge(usize),
-    /// The destination belongs into another bucket.
-    #[error("destination {0} belongs into another bucket")]
+    /// The destination belongs to another bucket.
+    #[error("destination {0} belongs to another bucket")]
     Misplaced(DestinationId),
     /// The bytes are not canonical.
     #[error(transparent)]
--- a/crates/destinations/src/change.rs
+++ b/crates/destinations/src/change.rs
@@ -1,29 +1,29 @@
-//! Numbered changes of a set, and their bytes.
+//! Numbered changes of a set, and their encoding.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use crate::{DestinationId, Digest, Endpoint, Version};
 
-/// The most operations in one change.
+/// Maximum number of operations in one change.
 pub const MAX_OPERATIONS: usize = 64;
 
-/// The most bytes of one encoded change, without its signature.
+/// Maximum length of an encoded change in bytes, without its signature.
 pub const MAX_CHANGE_BYTES: usize = 4096;
 
-/// One step of a change.
+/// One operation of a change.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Operation {
-    /// Adds the endpoint, or replaces the one of this id. Adds the destination if it is not there.
+    /// Adds the endpoint, or replaces the one of this id. Adds the destination if it does not exist.
     PutEndpoint {
-        /// Whose endpoint it is.
+        /// The destination of the endpoint.
         destination: DestinationId,
-        /// The endpoint as it shall be.
+        /// The new endpoint.
         endpoint: Endpoint,
     },
-    /// Removes an endpoint, and with its last one the destination.
+    /// Removes an endpoint; removing the last one also removes the destination.
     RemoveEndpoint {
-        /// Whose endpoint it is.
+        /// The destination of the endpoint.
         destination: DestinationId,
         /// The id of the endpoint.
         endpoint_id: String,
@@ -35,7 +35,7 @@
     },
 }
 
-/// A step from one version of the set to the next.
+/// A change from one version of the set to the next.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Change {
     /// The version the set has after this change.
@@ -44,7 +44,7 @@
     pub previous_digest: Digest,
     /// The digest of the set after.
     pub digest: Digest,
-    /// The steps, in order; may be empty, as in the first change of an epoch.
+    /// The operations, in order; may be empty, as in the first change of an epoch.
     pub operations: Vec<Operation>,
 }
 
@@ -60,10 +60,10 @@
         Ok(bytes)
     }
 
-    /// Decodes what [`Change::encode`] gave; the bounds are checked before anything is allocated.
+    /// Decodes the output of [`Change::encode`]. The bounds are checked before anything is allocated.
     ///
     /// # Errors
-    /// The bytes exceed a bound, are cut, are followed by others, or are no change.
+    /// The bytes exceed a bound, are truncated, have trailing bytes, or are no change.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         check_bytes(bytes.len())?;
         let (change, rest) = postcard::take_from_bytes::<Self>(bytes).map_err(|_| DecodeError::Malformed)?;
@@ -83,7 +83,7 @@
     if count > MAX_CHANGE_BYTES { Err(DecodeError::TooManyBytes(count)) } else { Ok(()) }
 }
 
-/// Why bytes are no change, or why a change has no bytes.
+/// Why a change cannot be decoded or encoded.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum DecodeError {
     /// More than [`MAX_OPERATIONS`].
@@ -95,7 +95,7 @@
     /// Bytes follow the change.
     #[error("{0} bytes follow the change")]
     Trailing(usize),
-    /// The bytes are cut or are no change.
-    #[error("the bytes are no change")]
+    /// The bytes are truncated or are no change.
+    #[error("the bytes are not a valid change")]
     Malformed,
 }
--- a/crates/destinations/src/codec.rs
+++ b/crates/destinations/src/codec.rs
@@ -16,7 +16,7 @@
 
 use crate::{DestinationId, Endpoint, EndpointError, EndpointRef, MAX_ENDPOINTS, Phase};
 
-/// Appends a destination; nothing for one without endpoints, as that is not in the set.
+/// Appends a destination. One without endpoints is skipped, as it is not in the set.
 pub(crate) fn put_destination(out: &mut Vec<u8>, id: DestinationId, endpoints: &[Endpoint]) {
     if !endpoints.is_empty() {
         put_id(out, id);
@@ -29,7 +29,7 @@
     out.extend_from_slice(&id.0.to_le_bytes());
 }
 
-/// Appends the body of a destination: its endpoints, which are valid, ascend by id and are no more than
+/// Appends the body of a destination: its endpoints, which must be valid, in ascending order of ids, and at most
 /// [`MAX_ENDPOINTS`].
 pub(crate) fn put_body(out: &mut Vec<u8>, endpoints: &[Endpoint]) {
     out.push(endpoints.len() as u8);
@@ -76,7 +76,7 @@
         Self(bytes)
     }
 
-    /// The next destination and its body, checked; none at the end.
+    /// The next destination and its validated body. `None` at the end.
     pub(crate) fn destination(&mut self) -> Result<Option<(DestinationId, &'a [u8])>, CodecError> {
         if self.0.is_empty() {
             return Ok(None);
@@ -84,7 +84,7 @@
         let id = DestinationId(i64::from_le_bytes(self.array()?));
         let start = self.0;
         self.check_body()?;
-        let (body, _) = start.split_at_checked(start.len() - self.0.len()).ok_or(CodecError::Cut)?;
+        let (body, _) = start.split_at_checked(start.len() - self.0.len()).ok_or(CodecError::Truncated)?;
         Ok(Some((id, body)))
     }
 
@@ -96,7 +96,7 @@
         let mut last = "";
         for _ in 0..count {
             let endpoint = self.endpoint()?;
-            // An id is not empty, so the first one passes, too.
+            // An id is never empty, so the first one is greater than the empty string.
             if endpoint.id <= last {
                 return Err(CodecError::Order);
             }
@@ -137,7 +137,7 @@
 
     fn name(&mut self) -> Result<&'a str, CodecError> {
         let length = usize::from(self.byte()?);
-        let (name, rest) = self.0.split_at_checked(length).ok_or(CodecError::Cut)?;
+        let (name, rest) = self.0.split_at_checked(length).ok_or(CodecError::Truncated)?;
         self.0 = rest;
         std::str::from_utf8(name).map_err(|_| CodecError::Utf8)
     }
@@ -147,13 +147,13 @@
     }
 
     fn array<const LENGTH: usize>(&mut self) -> Result<[u8; LENGTH], CodecError> {
-        let (array, rest) = self.0.split_first_chunk().ok_or(CodecError::Cut)?;
+        let (array, rest) = self.0.split_first_chunk().ok_or(CodecError::Truncated)?;
         self.0 = rest;
         Ok(*array)
     }
 }
 
-/// The endpoints in a body that was checked before.
+/// The endpoints in a validated body.
 #[derive(Debug, Clone)]
 pub(crate) struct Endpoints<'a> {
     reader: Reader<'a>,
@@ -188,20 +188,20 @@
 pub enum CodecError {
     /// The bytes end within a destination.
     #[error("the bytes end within a destination")]
-    Cut,
+    Truncated,
     /// A destination has no endpoint, or more than [`MAX_ENDPOINTS`].
     #[error("{0} endpoints; a destination has 1 to {MAX_ENDPOINTS}")]
     EndpointCount(usize),
-    /// Destinations or endpoints do not ascend.
-    #[error("destinations or endpoints are doubled or out of order")]
+    /// Destinations or endpoints are not in strictly ascending order.
+    #[error("destinations or endpoints are duplicated or out of order")]
     Order,
-    /// A tag that stands for nothing.
-    #[error("the tag {0} stands for nothing")]
+    /// An unknown tag.
+    #[error("unknown tag {0}")]
     Tag(u8),
     /// A name is not UTF-8.
     #[error("a name is not UTF-8")]
     Utf8,
-    /// An endpoint breaks a bound.
+    /// An endpoint exceeds a bound.
     #[error(transparent)]
     Endpoint(#[from] EndpointError),
 }
--- a/crates/destinations/src/digest.rs
+++ b/crates/destinations/src/digest.rs
@@ -1,10 +1,9 @@
 //! The digest of a set: a hash tree over its buckets.
 //!
-//! A leaf is the SHA-256 of a bucket's canonical bytes, so it depends on what the bucket holds and not on the
-//! order in which it came. Leaves are hashed in groups, and the groups into the root. A change rehashes the
-//! buckets it touches, their groups and the root. A sum of entry hashes would be cheaper still, but whoever may
-//! choose the entries can find others with the same sum (Wagner 2002, "A generalized birthday problem"), and a
-//! snapshot's buckets come from peers.
+//! A leaf is the SHA-256 of a bucket's canonical bytes, so it depends on the bucket's content and not on the order of
+//! changes. Leaves are hashed in groups, and the groups into the root. A change rehashes the buckets it touches, their
+//! groups and the root. A sum of entry hashes would be cheaper, but an attacker who can choose entries can find others
+//! with the same sum (Wagner 2002, "A generalized birthday problem"), and a snapshot's buckets come from peers.
 
 use std::fmt;
 
@@ -20,7 +19,7 @@
 const GROUP_DOMAIN: &[u8] = b"tulipfall destinations group 1";
 const ROOT_DOMAIN: &[u8] = b"tulipfall destinations set 1";
 
-/// A SHA-256 value that stands for a set or for one bucket of it.
+/// The SHA-256 digest of a set or of one of its buckets.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Digest(pub [u8; 32]);
 
@@ -41,7 +40,7 @@
     hash(LEAF_DOMAIN, [&index.to_le_bytes()[..], bytes])
 }
 
-/// The digest of a set, with those of its buckets and of the nodes between.
+/// The digest of a set, with the digests of its buckets and of the inner nodes.
 #[derive(Debug, Clone)]
 pub(crate) struct DigestTree {
     leaves: Vec<Digest>,
@@ -57,7 +56,7 @@
         Self { leaves, groups, root }
     }
 
-    /// The tree of a set that holds nothing.
+    /// The tree of an empty set.
     pub(crate) fn empty() -> Self {
         Self::new((0..BUCKETS as u16).map(|index| bucket_digest(index, &[])).collect())
     }
@@ -70,7 +69,7 @@
         &self.leaves
     }
 
-    /// Replaces some leaves and brings the nodes above them up to date.
+    /// Replaces some leaves and updates the nodes above them.
     pub(crate) fn update(&mut self, replaced: impl IntoIterator<Item = (u16, Digest)>) {
         let mut stale = [false; BUCKETS / GROUP];
         for (index, digest) in replaced {
--- a/crates/destinations/src/endpoint.rs
+++ b/crates/destinations/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Destinations and their endpoints, as messages and callers name them.
+//! Destinations and their endpoints, as changes and callers use them.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -6,13 +6,13 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The longest id, kind or zone of an endpoint, in bytes of UTF-8.
+/// Maximum length of the id, kind or zone of an endpoint, in bytes of UTF-8.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// The most endpoints of one destination.
+/// Maximum number of endpoints of one destination.
 pub const MAX_ENDPOINTS: usize = 32;
 
-/// Names one destination. A destination is in the set exactly while it has an endpoint.
+/// Identifies a destination. A destination is in the set exactly while it has an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DestinationId(pub i64);
 
@@ -22,29 +22,29 @@
     }
 }
 
-/// Whether an endpoint takes new work.
+/// Whether an endpoint accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Phase {
-    /// Takes new work.
+    /// Accepts new work.
     Ready,
-    /// Finishes what it has and takes no new work.
+    /// Finishes its present work and accepts no new work.
     Draining,
 }
 
-/// One endpoint of a destination, owning its strings: the form in which changes carry it.
+/// An endpoint of a destination with owned strings, as changes contain it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Endpoint {
     /// Unique within the destination.
     pub id: String,
-    /// Where it listens. Flow label and scope of an IPv6 address are not kept.
+    /// Its address. The flow label and scope of an IPv6 address are not stored.
     pub address: SocketAddr,
-    /// What the endpoint speaks.
+    /// Its kind, which names its protocol.
     pub kind: String,
-    /// Where it stands.
+    /// Its zone.
     pub zone: String,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub phase: Phase,
-    /// What it accepts, in messages per second; finite and not negative.
+    /// Maximum rate that it accepts, in messages per second; finite and not negative.
     pub rate_per_s: f64,
 }
 
@@ -52,7 +52,7 @@
     /// Checks the bounds that hold for every endpoint of a set.
     ///
     /// # Errors
-    /// The first bound that is broken.
+    /// The first bound that is exceeded.
     pub fn validate(&self) -> Result<(), EndpointError> {
         self.as_ref().validate()
     }
@@ -70,25 +70,25 @@
     }
 }
 
-/// One endpoint as the set lends it; fields as in [`Endpoint`].
+/// An endpoint borrowed from the set; the fields are those of [`Endpoint`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EndpointRef<'a> {
     /// Unique within the destination.
     pub id: &'a str,
-    /// Where it listens.
+    /// Its address.
     pub address: SocketAddr,
-    /// What the endpoint speaks.
+    /// Its kind, which names its protocol.
     pub kind: &'a str,
-    /// Where it stands.
+    /// Its zone.
     pub zone: &'a str,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub phase: Phase,
-    /// What it accepts, in messages per second.
+    /// Maximum rate that it accepts, in messages per second.
     pub rate_per_s: f64,
 }
 
 impl EndpointRef<'_> {
-    /// Copies into the owning form.
+    /// Copies it into an [`Endpoint`].
     pub fn to_endpoint(&self) -> Endpoint {
         Endpoint {
             id: self.id.to_owned(),
@@ -109,7 +109,7 @@
         if self.id.is_empty() {
             return Err(EndpointError::EmptyId);
         }
-        // The sign is looked at, too: 0.0 and -0.0 are equal but would not give the same digest.
+        // The sign is checked as well: 0.0 and -0.0 are equal but have different digests.
         if !self.rate_per_s.is_finite() || self.rate_per_s.is_sign_negative() {
             return Err(EndpointError::Rate(self.rate_per_s));
         }
--- a/crates/destinations/src/lib.rs
+++ b/crates/destinations/src/lib.rs
@@ -1,12 +1,12 @@
-//! The replicated destination set: which endpoints stand for which destination, the same on every relay.
+//! The replicated destination set: the endpoints of each destination, identical on every relay.
 //!
 //! The control cluster publishes numbered, signed changes ([`SignedChange`]). Every relay holds the whole set
-//! ([`DestinationSet`]) and applies each change whole or not at all. A digest of the set before and after is part
-//! of each change, so two relays at one version hold the same set or know that they do not. A relay that was away
-//! asks for the changes it lacks ([`ChangeLog`]) or, where those are gone, for the buckets in which it differs
-//! ([`Manifest`], [`SnapshotInstall`]).
+//! ([`DestinationSet`]) and applies each change atomically. Each change contains digests of the set before and after it,
+//! so two relays at one version hold the same set or detect that they do not. A relay that missed changes requests
+//! them ([`ChangeLog`]) or, if they are no longer kept, the buckets in which its set differs ([`Manifest`],
+//! [`SnapshotInstall`]).
 //!
-//! The crate does no I/O and has no clock. All bytes that come in are taken for hostile until proven otherwise.
+//! The crate does no I/O and has no clock. All input bytes are untrusted until they are verified.
 #![forbid(unsafe_code)]
 
 mod bucket;
--- a/crates/destinations/src/log.rs
+++ b/crates/destinations/src/log.rs
@@ -1,4 +1,4 @@
-//! The latest signed changes, kept for relays that missed some.
+//! A log of the latest signed changes, for relays that missed some.
 
 use std::collections::VecDeque;
 
@@ -6,16 +6,16 @@
 
 use crate::{SignedChange, Version};
 
-/// How much a log keeps; whichever limit is met first holds. The last change is kept in any case.
+/// Limits of a log; the one that is reached first applies. The last change is always kept.
 #[derive(Debug, Clone, Copy)]
 pub struct LogLimits {
-    /// The most changes.
+    /// Maximum number of changes.
     pub changes: usize,
-    /// The most bytes of encoded changes.
+    /// Maximum total length of the encoded changes, in bytes.
     pub bytes: usize,
 }
 
-/// The latest changes of one epoch, without a gap.
+/// The latest changes of one epoch, without gaps.
 #[derive(Debug)]
 pub struct ChangeLog {
     limits: LogLimits,
@@ -25,18 +25,18 @@
 }
 
 impl ChangeLog {
-    /// A log that will follow a set of this version.
+    /// Creates an empty log for a set of this version.
     pub fn new(base: Version, limits: LogLimits) -> Self {
         Self { limits, base, changes: VecDeque::new(), bytes: 0 }
     }
 
-    /// Forgets all changes and keeps this one alone, as after a snapshot for which it vouched.
+    /// Replaces all changes by this one, as after the installation of a snapshot that it authenticated.
     pub fn reset(&mut self, version: Version, change: SignedChange) {
         *self = Self::new(Version { number: version.number.saturating_sub(1), ..version }, self.limits);
-        self.keep(change);
+        self.append(change);
     }
 
-    /// The last change, which vouches for a snapshot of [`ChangeLog::version`].
+    /// The last change, which authenticates a snapshot of [`ChangeLog::version`].
     pub fn last(&self) -> Option<&SignedChange> {
         self.changes.back()
     }
@@ -56,8 +56,8 @@
         self.changes.is_empty()
     }
 
-    /// Keeps a change that was verified and applied, and lets go of the oldest ones beyond the limits, but never of
-    /// the last. The first change of a newer epoch lets go of the whole older one.
+    /// Appends a change that was verified and applied, and drops the oldest ones beyond the limits, but never the last
+    /// one. The first change of a newer epoch drops all changes of the older one.
     ///
     /// # Errors
     /// The version does not follow the last one.
@@ -70,12 +70,12 @@
         if have.next() != Some(version) {
             return Err(LogError { have, got: version });
         }
-        self.keep(change);
+        self.append(change);
         Ok(())
     }
 
-    /// The changes that lead from this version to [`ChangeLog::version`]; none if they are not all here, so that
-    /// a snapshot is needed.
+    /// The changes that lead from this version to [`ChangeLog::version`]. `None` if they are not all in the log, so that a
+    /// snapshot is needed.
     pub fn since(&self, version: Version) -> Option<impl Iterator<Item = &SignedChange>> {
         if version.epoch != self.base.epoch {
             return None;
@@ -84,7 +84,7 @@
         (skipped <= self.changes.len()).then(|| self.changes.iter().skip(skipped))
     }
 
-    fn keep(&mut self, change: SignedChange) {
+    fn append(&mut self, change: SignedChange) {
         self.bytes += change.encoded_len();
         self.changes.push_back(change);
         while self.exceeds_limits() && self.changes.len() > 1 {
--- a/crates/destinations/src/persist.rs
+++ b/crates/destinations/src/persist.rs
@@ -1,4 +1,4 @@
-//! A whole set as bytes for a file, written and read piece by piece.
+//! The file format of a whole set, written and read piece by piece.
 //!
 //! | part | bytes |
 //! | --- | --- |
@@ -6,8 +6,8 @@
 //! | each bucket, in order | length `u32`, canonical bytes |
 //! | checksum | SHA-256 of all before |
 //!
-//! Numbers are little-endian. The checksum finds damage, not forgery: whoever can write the file can write its
-//! checksum, too. Where that matters, keep the signed change of the version beside it.
+//! Numbers are little-endian. The checksum detects corruption, not forgery: an attacker who can write the file can
+//! write a matching checksum. Where that matters, store the signed change of the version with the file.
 
 use sha2::{Digest as _, Sha256};
 use thiserror::Error;
@@ -21,14 +21,14 @@
 const HEADER_BYTES: usize = MAGIC.len() + 4 + 8 + DIGEST_BYTES;
 const LENGTH_BYTES: usize = 4;
 
-/// The pieces of the file, in order; each is made when it is asked for and is at most a bucket long.
+/// The pieces of the file, in order. Each is encoded on demand and is at most a bucket long.
 pub fn encode(set: &DestinationSet) -> impl Iterator<Item = Vec<u8>> {
     let mut encoder = Encoder::new(set);
-    // The set is borrowed for as long as the iterator lives, so that it cannot change meanwhile.
+    // The iterator borrows the set, so the set cannot change meanwhile.
     std::iter::from_fn(move || encoder.next_piece(set).ok().flatten())
 }
 
-/// Makes the pieces of the file one at a time, so that the set is free for other use between them.
+/// Encodes the file one piece at a time, so that the set can be used in between.
 #[derive(Debug)]
 pub struct Encoder {
     version: Version,
@@ -47,16 +47,16 @@
 }
 
 impl Encoder {
-    /// An encoder of the set as it is now.
+    /// Creates an encoder of the set's present version.
     pub fn new(set: &DestinationSet) -> Self {
         let (version, digest) = (set.version(), set.digest());
         Self { version, digest, stage: Stage::Header, checksum: Sha256::new() }
     }
 
-    /// The next piece, at most a bucket long; none after the last.
+    /// The next piece, at most a bucket long. `None` after the last one.
     ///
     /// # Errors
-    /// The set has changed since [`Encoder::new`], so that the file has to be begun anew.
+    /// The set has changed since [`Encoder::new`], so the file has to be started again.
     pub fn next_piece(&mut self, set: &DestinationSet) -> Result<Option<Vec<u8>>, SetChanged> {
         if (set.version(), set.digest()) != (self.version, self.digest) {
             return Err(SetChanged);
@@ -87,7 +87,7 @@
 }
 
 fn bucket_record(set: &DestinationSet, index: u16) -> Vec<u8> {
-    let bytes = set.held_bucket(index).encode();
+    let bytes = set.bucket_ref(index).encode();
     [&(bytes.len() as u32).to_le_bytes()[..], &bytes].concat()
 }
 
@@ -109,7 +109,7 @@
 }
 
 impl Decoder {
-    /// A decoder that awaits the first byte.
+    /// Creates a decoder for a new file.
     pub fn new() -> Self {
         Self {
             pending: Vec::new(),
@@ -120,32 +120,32 @@
         }
     }
 
-    /// Takes the next bytes.
+    /// Adds the next bytes of the file.
     ///
     /// # Errors
-    /// A part that is now whole is not sound. The decoder is of no more use.
+    /// A part that is now complete is invalid. The decoder cannot be used any more.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), FileError> {
         let mut pending = std::mem::take(&mut self.pending);
         pending.extend_from_slice(bytes);
-        let mut taken = 0;
-        while let Some(length) = self.next_part(&pending[taken..])? {
-            let Some(part) = pending[taken..].get(..length) else { break };
-            self.take_part(part)?;
-            taken += length;
+        let mut consumed = 0;
+        while let Some(length) = self.next_part(&pending[consumed..])? {
+            let Some(part) = pending[consumed..].get(..length) else { break };
+            self.decode_part(part)?;
+            consumed += length;
         }
-        pending.drain(..taken);
+        pending.drain(..consumed);
         self.pending = pending;
         Ok(())
     }
 
-    /// The set, once the whole file was taken.
+    /// Returns the set, after the whole file was pushed.
     ///
     /// # Errors
-    /// The file is cut, bytes follow it, or the checksum or the digest is wrong.
+    /// The file is truncated or has trailing bytes, or the checksum or the digest is wrong.
     pub fn finish(self) -> Result<DestinationSet, FileError> {
-        let (version, digest) = self.header.ok_or(FileError::Cut)?;
+        let (version, digest) = self.header.ok_or(FileError::Truncated)?;
         if self.buckets.len() < BUCKETS || self.pending.len() < DIGEST_BYTES {
-            return Err(FileError::Cut);
+            return Err(FileError::Truncated);
         }
         if self.pending != self.checksum.finalize().as_slice() {
             return Err(FileError::Checksum);
@@ -157,7 +157,7 @@
         Ok(DestinationSet::assemble(version, self.buckets, digests))
     }
 
-    /// The length of the next part; none if that is not yet known or only the checksum is to come.
+    /// The length of the next part. `None` if it is not known yet or only the checksum is left.
     fn next_part(&self, rest: &[u8]) -> Result<Option<usize>, FileError> {
         if self.header.is_none() {
             return Ok(Some(HEADER_BYTES));
@@ -173,14 +173,14 @@
         Ok(Some(LENGTH_BYTES + length))
     }
 
-    fn take_part(&mut self, part: &[u8]) -> Result<(), FileError> {
+    fn decode_part(&mut self, part: &[u8]) -> Result<(), FileError> {
         self.checksum.update(part);
         if self.header.is_none() {
             self.header = Some(read_header(part).ok_or(FileError::Magic)?);
             return Ok(());
         }
         let index = self.buckets.len() as u16;
-        let bytes = part.get(LENGTH_BYTES..).ok_or(FileError::Cut)?;
+        let bytes = part.get(LENGTH_BYTES..).ok_or(FileError::Truncated)?;
         self.buckets.push(Bucket::decode(index, bytes)?);
         self.bucket_digests.push(bucket_digest(index, bytes));
         Ok(())
@@ -195,25 +195,25 @@
     Some((version, Digest(rest.try_into().ok()?)))
 }
 
-/// Why bytes are no file of a set.
+/// Why a file of a set is invalid.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum FileError {
-    /// The file does not begin as one of this format.
+    /// The file does not begin with the magic bytes.
     #[error("not a file of a destination set")]
     Magic,
-    /// The file ends early.
+    /// The file is truncated.
     #[error("the file ends early")]
-    Cut,
+    Truncated,
     /// Bytes follow the checksum.
     #[error("bytes follow the checksum")]
     Trailing,
-    /// The checksum is not that of the bytes.
+    /// The checksum does not match.
     #[error("the checksum is wrong")]
     Checksum,
-    /// The buckets do not make up the digest.
-    #[error("the buckets do not make up the digest")]
+    /// The digest in the header does not match the buckets.
+    #[error("the digest does not match the buckets")]
     Digest,
-    /// A bucket is not sound.
+    /// A bucket is invalid.
     #[error(transparent)]
     Bucket(#[from] BucketError),
 }
--- a/crates/destinations/src/set.rs
+++ b/crates/destinations/src/set.rs
@@ -1,4 +1,4 @@
-//! The set that every relay holds.
+//! The destination set.
 
 use thiserror::Error;
 
@@ -10,7 +10,7 @@
     Change, DecodeError, DestinationId, Digest, Endpoint, EndpointError, EndpointRef, Operation, Version,
 };
 
-/// All destinations at one version. Every change of it is taken on whole or not at all.
+/// All destinations at one version. Changes are applied atomically.
 #[derive(Debug)]
 pub struct DestinationSet {
     version: Version,
@@ -26,7 +26,7 @@
 }
 
 impl DestinationSet {
-    /// A set that holds nothing yet.
+    /// Creates an empty set.
     pub fn new() -> Self {
         Self {
             version: Version::default(),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The version of the last change taken on.
+    /// The version of the last applied change.
     pub fn version(&self) -> Version {
         self.version
     }
@@ -58,7 +58,7 @@
 
     /// One destination.
     pub fn get(&self, id: DestinationId) -> Option<Destination<'_>> {
-        self.held_bucket(bucket_of(id)).get(id).map(Destination)
+        self.bucket_ref(bucket_of(id)).get(id).map(Destination)
     }
 
     /// All destinations, in an order that is the same for the same content.
@@ -66,14 +66,14 @@
         self.buckets.iter().flat_map(Bucket::iter).map(Destination)
     }
 
-    /// Takes on a change, which must have come out of [`SignedChange::verify`](crate::SignedChange::verify).
+    /// Applies a change, which must be the output of [`SignedChange::verify`](crate::SignedChange::verify).
     ///
-    /// The change must carry the next number of the epoch held. The first one of a newer epoch is taken on if the
-    /// set it follows is the one held, whatever its number; otherwise a snapshot is needed.
+    /// The change must have the next number of the current epoch. The first change of a newer epoch, whatever its
+    /// number, is applied if its previous digest is that of this set; otherwise a snapshot is needed.
     ///
     /// # Errors
-    /// The change is not the next, does not fit what is held, or does not lead to the digest it names. The set
-    /// and its digest are as they were.
+    /// The change is not the next one, cannot be applied to this set, or does not lead to its digest. The set is
+    /// unchanged.
     pub fn apply(&mut self, change: &Change) -> Result<Applied, ApplyError> {
         self.check_version(change.version)?;
         if change.previous_digest != self.digest() {
@@ -87,15 +87,15 @@
         Ok(self.commit(change.version, &staged, digests))
     }
 
-    /// Works out the change that these operations make, numbered as the next of the epoch.
+    /// Creates the change with these operations and the next number of the epoch.
     ///
     /// # Errors
-    /// The operations do not fit the set or a bound, or the numbers of the epoch are used up.
+    /// The operations cannot be applied to the set, exceed a bound, or the numbers of the epoch are used up.
     pub fn prepare(&self, operations: Vec<Operation>) -> Result<Change, ApplyError> {
         self.prepare_in_epoch(self.version.epoch, operations)
     }
 
-    /// As [`DestinationSet::prepare`], in an epoch that is the one held or a newer one.
+    /// As [`DestinationSet::prepare`], in the current or a newer epoch.
     ///
     /// # Errors
     /// As for [`DestinationSet::prepare`]; also if the epoch is older.
@@ -109,11 +109,11 @@
         Ok(change)
     }
 
-    /// The operations that undo these, which have not yet been applied to the set; for a rollback that is
-    /// published as a change of its own. Undoing a large removal may take more than one change.
+    /// The operations that revert these, which have not yet been applied to the set. A rollback is published as a change
+    /// of its own; reverting a large removal may take more than one change.
     ///
     /// # Errors
-    /// The operations do not fit the set.
+    /// The operations cannot be applied to the set.
     pub fn inverse(&self, operations: &[Operation]) -> Result<Vec<Operation>, ApplyError> {
         let staged = Staged::run(self, operations)?;
         let undo = |(id, after): (DestinationId, &Vec<Endpoint>)| {
@@ -122,7 +122,7 @@
         Ok(staged.destinations().flat_map(undo).collect())
     }
 
-    pub(crate) fn held_bucket(&self, index: u16) -> &Bucket {
+    pub(crate) fn bucket_ref(&self, index: u16) -> &Bucket {
         &self.buckets[usize::from(index)]
     }
 
@@ -130,18 +130,18 @@
         &self.digests
     }
 
-    /// A set of buckets that were checked against the digests.
+    /// Creates a set of buckets that were verified against the digests.
     pub(crate) fn assemble(version: Version, buckets: Vec<Bucket>, digests: DigestTree) -> Self {
         let length = buckets.iter().map(Bucket::len).sum();
         Self { version, length, buckets, digests }
     }
 
-    /// Takes on whole buckets with their digests and, with them, another version.
+    /// Replaces whole buckets with their digests, and sets the version.
     pub(crate) fn replace_buckets(
         &mut self, version: Version, buckets: impl IntoIterator<Item = (u16, Bucket)>, digests: DigestTree,
     ) {
         for (index, bucket) in buckets {
-            self.length = self.length + bucket.len() - self.held_bucket(index).len();
+            self.length = self.length + bucket.len() - self.bucket_ref(index).len();
             self.buckets[usize::from(index)] = bucket;
         }
         self.version = version;
@@ -212,12 +212,12 @@
     removals.into_iter().chain(puts).collect()
 }
 
-/// A destination that the set lends.
+/// A destination, borrowed from the set.
 #[derive(Debug, Clone, Copy)]
 pub struct Destination<'a>(&'a StoredDestination);
 
 impl<'a> Destination<'a> {
-    /// Which destination this is.
+    /// The destination's id.
     pub fn id(&self) -> DestinationId {
         self.0.id
     }
@@ -228,28 +228,28 @@
     }
 }
 
-/// What a change or an installed snapshot made of the set. The endpoints themselves are in the set.
+/// The effect of a change or an installed snapshot. The endpoints themselves are in the set.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Applied {
-    /// The version the set now has.
+    /// The new version of the set.
     pub version: Version,
-    /// The destinations touched, each once.
+    /// The changed destinations, each once.
     pub changes: Vec<DestinationChange>,
 }
 
-/// What became of one destination.
+/// The effect on one destination.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DestinationChange {
-    /// It was not there before.
+    /// It did not exist before.
     Added(DestinationId),
-    /// It was there before, perhaps with other endpoints.
+    /// It existed before, perhaps with other endpoints.
     Updated(DestinationId),
-    /// It is no longer there.
+    /// It was removed.
     Removed(DestinationId),
 }
 
 impl DestinationChange {
-    /// None for a destination that is neither there before nor after.
+    /// `None` for a destination that exists neither before nor after.
     pub(crate) fn between(id: DestinationId, before: bool, after: bool) -> Option<Self> {
         match (before, after) {
             (false, false) => None,
@@ -260,57 +260,57 @@
     }
 }
 
-/// Why a change was refused whole.
+/// Why a change was refused.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum ApplyError {
-    /// This number of the epoch was already taken on.
+    /// This number of the epoch has been applied already.
     #[error("change {got} is not after {have}")]
     Older {
-        /// The version held.
+        /// The version of the set.
         have: Version,
         /// The version of the change.
         got: Version,
     },
-    /// Changes between are missing: ask for them.
+    /// Changes in between are missing and have to be requested.
     #[error("changes are missing between {have} and {got}")]
     Gap {
-        /// The version held.
+        /// The version of the set.
         have: Version,
         /// The version of the change.
         got: Version,
     },
-    /// The change is of a history that has ended.
+    /// The change is of an epoch that has ended.
     #[error("change {got} is of an older epoch than {have}")]
     OlderEpoch {
-        /// The version held.
+        /// The version of the set.
         have: Version,
         /// The version of the change.
         got: Version,
     },
-    /// The change is of a newer history and does not follow the set held: ask for a snapshot.
-    #[error("change {got} is of a newer epoch and does not follow the set held at {have}")]
+    /// The change is of a newer epoch and does not follow this set: a snapshot is needed.
+    #[error("change {got} is of a newer epoch and does not follow the set at {have}")]
     OtherEpoch {
-        /// The version held.
+        /// The version of the set.
         have: Version,
         /// The version of the change.
         got: Version,
     },
-    /// The change follows another set than the one held.
-    #[error("the change follows another set than the one held")]
+    /// The change's previous digest is not that of this set.
+    #[error("the change's previous digest does not match the set")]
     PreviousDigest,
-    /// The operations do not lead to the digest that the change names.
-    #[error("the operations do not lead to the digest that the change names")]
+    /// The operations do not lead to the change's digest.
+    #[error("the operations do not lead to the digest of the change")]
     Digest,
-    /// A removal names a destination that is not there.
+    /// A destination to remove, or to remove an endpoint from, does not exist.
     #[error("destination {0} is not in the set")]
     UnknownDestination(DestinationId),
-    /// A removal names an endpoint that is not there.
+    /// An endpoint to remove does not exist.
     #[error("destination {0} has no endpoint {1:?}")]
     UnknownEndpoint(DestinationId, String),
-    /// What is counted, how many there would be, and the most.
+    /// A count exceeds its bound: what is counted, the count, and the bound.
     #[error("{1} {0} exceed {2}")]
     TooLarge(&'static str, usize, usize),
-    /// An endpoint breaks a bound.
+    /// An endpoint exceeds a bound.
     #[error(transparent)]
     Endpoint(#[from] EndpointError),
     /// The change exceeds a bound of its encoding.
--- a/crates/destinations/src/signature.rs
+++ b/crates/destinations/src/signature.rs
@@ -6,13 +6,13 @@
 
 use crate::change::{Change, DecodeError, MAX_CHANGE_BYTES};
 
-/// The length of an Ed25519 signature.
+/// Length of an Ed25519 signature, in bytes.
 pub const SIGNATURE_BYTES: usize = 64;
 
-/// The most control keys that are accepted at a time; bounds the work that a forged change costs.
+/// Maximum number of control keys, which limits the cost of verifying a forged change.
 pub const MAX_CONTROL_KEYS: usize = 16;
 
-/// Precedes the change in what is signed, so that a signature made for anything else is none for a change.
+/// Prefix of the signed bytes, so that a signature made for another purpose is not valid for a change.
 const SIGNING_DOMAIN: &[u8] = b"tulipfall destinations change 1\0";
 
 /// The public keys of the control machines.
@@ -20,10 +20,10 @@
 pub struct ControlKeys(Vec<VerifyingKey>);
 
 impl ControlKeys {
-    /// Takes the keys in their 32-byte form (RFC 8032).
+    /// Creates the keys from their 32-byte form (RFC 8032).
     ///
     /// # Errors
-    /// There is none, there are more than [`MAX_CONTROL_KEYS`], or one is not a usable point.
+    /// There are none or more than [`MAX_CONTROL_KEYS`], or one is not a usable point.
     pub fn new(keys: &[[u8; 32]]) -> Result<Self, KeyError> {
         if keys.is_empty() || keys.len() > MAX_CONTROL_KEYS {
             return Err(KeyError::Count(keys.len()));
@@ -55,10 +55,10 @@
         Ok(Self { bytes, signature })
     }
 
-    /// Checks the signature against each control key in turn, and only then decodes the change.
+    /// Verifies the signature against each control key in turn, and only then decodes the change.
     ///
     /// # Errors
-    /// No control key made the signature, or what it covers is no change.
+    /// The signature is not valid for any control key, or the signed bytes are no change.
     pub fn verify(&self, keys: &ControlKeys) -> Result<Change, VerifyError> {
         let message = signed_message(&self.bytes);
         let signature = Signature::from_bytes(&self.signature);
@@ -73,10 +73,10 @@
         [&self.signature[..], &self.bytes].concat()
     }
 
-    /// Takes what [`SignedChange::encode`] gave; [`SignedChange::verify`] looks into it.
+    /// Splits the output of [`SignedChange::encode`]. The content is checked by [`SignedChange::verify`].
     ///
     /// # Errors
-    /// The bytes hold no whole signature, or more than a change may have.
+    /// The bytes are too short for a signature, or too long for a change.
     pub fn decode(encoded: &[u8]) -> Result<Self, DecodeError> {
         let (signature, bytes) = encoded.split_first_chunk().ok_or(DecodeError::Malformed)?;
         if bytes.len() > MAX_CHANGE_BYTES {
@@ -118,18 +118,18 @@
     /// The key at this position is not a usable Ed25519 key.
     #[error("control key {position} is not a usable Ed25519 key")]
     Invalid {
-        /// Counted from zero.
+        /// The position, from 0.
         position: usize,
     },
 }
 
-/// Why a signed change is not to be applied.
+/// Why a signed change is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum VerifyError {
-    /// No control key made this signature over these bytes.
+    /// The signature is not valid for any control key.
     #[error("the signature is not that of a control key")]
     Signature,
-    /// The signed bytes are no change.
+    /// The signed bytes are not a valid change.
     #[error(transparent)]
     Decode(#[from] DecodeError),
 }
--- a/crates/destinations/src/snapshot.rs
+++ b/crates/destinations/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Bringing a set to another version by the buckets in which it differs.
+//! Updating a set to another version by the buckets in which it differs.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use crate::set::DestinationChange;
 use crate::{Applied, BucketError, Change, DestinationSet, Digest, Version};
 
-/// The digests of a whole set. The signed change of its version vouches for it, so a manifest from anyone may be
+/// The digests of a whole set. The signed change of its version authenticates it, so a manifest from any machine may be
 /// used together with that change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Manifest {
@@ -23,7 +23,7 @@
 }
 
 impl Manifest {
-    /// The most bytes of an encoded manifest: the version as two varints, the digest, the count and the digests.
+    /// Maximum length of an encoded manifest in bytes: the version as two varints, the digest, the count and the digests.
     pub const MAX_BYTES: usize = 5 + 10 + 32 + 2 + BUCKETS * 32;
 
     /// Encodes with postcard, in about 33 kB.
@@ -35,10 +35,10 @@
         postcard::to_allocvec(self).map_err(|_| ManifestError::Malformed)
     }
 
-    /// Decodes what [`Manifest::encode`] gave.
+    /// Decodes the output of [`Manifest::encode`].
     ///
     /// # Errors
-    /// The bytes are cut, followed by others, too many, or no manifest.
+    /// The bytes are truncated, have trailing bytes, are too long, or are no manifest.
     pub fn decode(bytes: &[u8]) -> Result<Self, ManifestError> {
         if bytes.len() > Self::MAX_BYTES {
             return Err(ManifestError::TooManyBytes(bytes.len()));
@@ -52,7 +52,7 @@
         Ok(manifest)
     }
 
-    /// Checks that the bucket digests make up the digest, and that the change of this version names it.
+    /// Verifies that the digest matches the bucket digests and the change of this version.
     fn check(&self, change: &Change) -> Result<DigestTree, ManifestError> {
         check_count(self.bucket_digests.len())?;
         if (change.version, change.digest) != (self.version, self.digest) {
@@ -71,7 +71,7 @@
 }
 
 impl DestinationSet {
-    /// The digests of the set as it is.
+    /// The digests of the set.
     pub fn manifest(&self) -> Manifest {
         Manifest {
             version: self.version(),
@@ -80,35 +80,35 @@
         }
     }
 
-    /// The canonical bytes of one bucket; none for an index of [`BUCKETS`] or more.
+    /// The canonical bytes of one bucket. `None` for an index of [`BUCKETS`] or more.
     pub fn bucket(&self, index: u16) -> Option<Vec<u8>> {
-        (usize::from(index) < BUCKETS).then(|| self.held_bucket(index).encode())
+        (usize::from(index) < BUCKETS).then(|| self.bucket_ref(index).encode())
     }
 
-    /// The buckets in which the set differs from the manifest, ascending.
+    /// The indexes of the buckets in which the set differs from the manifest, ascending.
     pub fn differing(&self, manifest: &Manifest) -> Vec<u16> {
         let pairs = self.digests().leaves().iter().zip(&manifest.bucket_digests);
         (0..).zip(pairs).filter(|(_, (held, wanted))| held != wanted).map(|(index, _)| index).collect()
     }
 }
 
-/// Collects the buckets in which a set differs from a manifest, and swaps them in together.
+/// Collects the buckets in which a set differs from a manifest, and installs them atomically.
 ///
-/// Only those buckets are held, beside the set, which stays in use meanwhile.
+/// Only those buckets are held in memory besides the set, which stays in use meanwhile.
 #[derive(Debug)]
 pub struct SnapshotInstall {
     manifest: Manifest,
     digests: DigestTree,
-    /// None until the bucket has come.
+    /// `None` until the bucket is received.
     buckets: BTreeMap<u16, Option<Bucket>>,
 }
 
 impl SnapshotInstall {
-    /// Begins to bring the set to the manifest. The change is the one that led to the manifest's version, and
-    /// must have come out of [`SignedChange::verify`](crate::SignedChange::verify).
+    /// Starts an update of the set to the manifest. The change is the one that led to the manifest's version, and must be
+    /// the output of [`SignedChange::verify`](crate::SignedChange::verify).
     ///
     /// # Errors
-    /// The manifest is not newer than the set, or the change does not vouch for it.
+    /// The manifest is not newer than the set, or does not match the change.
     pub fn begin(set: &DestinationSet, manifest: Manifest, change: &Change) -> Result<Self, InstallError> {
         check_newer(set.version(), manifest.version)?;
         let digests = manifest.check(change)?;
@@ -116,25 +116,25 @@
         Ok(Self { manifest, digests, buckets })
     }
 
-    /// The version the set will have.
+    /// The version of the set after the installation.
     pub fn version(&self) -> Version {
         self.manifest.version
     }
 
-    /// The buckets still to come, ascending.
+    /// The indexes of the missing buckets, ascending.
     pub fn missing(&self) -> impl Iterator<Item = u16> {
         self.buckets.iter().filter(|(_, bucket)| bucket.is_none()).map(|(index, _)| *index)
     }
 
-    /// Takes the canonical bytes of one bucket.
+    /// Adds the canonical bytes of one bucket.
     ///
     /// # Errors
-    /// The bucket was not asked for, has come before, or is not the one of the manifest. It is then left out, and
-    /// may come again.
+    /// The bucket is not needed, was received before, or does not match the manifest. It is then ignored, and may be
+    /// received again.
     pub fn take(&mut self, index: u16, bytes: &[u8]) -> Result<(), InstallError> {
-        let place = self.buckets.get_mut(&index).ok_or(InstallError::Unwanted(index))?;
+        let place = self.buckets.get_mut(&index).ok_or(InstallError::NotNeeded(index))?;
         if place.is_some() {
-            return Err(InstallError::Doubled(index));
+            return Err(InstallError::AlreadyReceived(index));
         }
         if bytes.len() > MAX_BUCKET_BYTES {
             return Err(BucketError::TooLarge(bytes.len()).into());
@@ -146,18 +146,18 @@
         Ok(())
     }
 
-    /// Swaps in the buckets, all at once. The set may have taken on changes since the install began.
+    /// Installs all buckets atomically. Changes may have been applied to the set since [`SnapshotInstall::begin`].
     ///
     /// # Errors
-    /// A bucket is missing, or the set has moved to where the manifest is no longer newer or other buckets
-    /// differ. The set is as it was; after [`InstallError::Moved`] the install is to begin anew.
+    /// A bucket is missing, or the set has changed so that the manifest is no longer newer or other buckets differ. The
+    /// set is unchanged; after [`InstallError::SetChanged`] the installation has to be started again.
     pub fn finish(&mut self, set: &mut DestinationSet) -> Result<Applied, InstallError> {
         check_newer(set.version(), self.manifest.version)?;
         if let Some(index) = self.missing().next() {
             return Err(InstallError::Missing(index));
         }
         if set.differing(&self.manifest).iter().any(|index| !self.buckets.contains_key(index)) {
-            return Err(InstallError::Moved);
+            return Err(InstallError::SetChanged);
         }
         let changes = self.changes(set);
         let buckets = std::mem::take(&mut self.buckets);
@@ -166,10 +166,10 @@
         Ok(Applied { version: self.manifest.version, changes })
     }
 
-    /// What the swap makes of the destinations of the differing buckets.
+    /// The effect of the installation on the destinations of the differing buckets.
     fn changes(&self, set: &DestinationSet) -> Vec<DestinationChange> {
         let buckets = self.buckets.iter().filter_map(|(index, bucket)| Some((*index, bucket.as_ref()?)));
-        buckets.flat_map(|(index, bucket)| bucket.changes_from(set.held_bucket(index))).collect()
+        buckets.flat_map(|(index, bucket)| bucket.changes_from(set.bucket_ref(index))).collect()
     }
 }
 
@@ -186,47 +186,47 @@
     /// More than [`Manifest::MAX_BYTES`].
     #[error("{0} bytes exceed those of a manifest")]
     TooManyBytes(usize),
-    /// The bytes are cut or are no manifest.
-    #[error("the bytes are no manifest")]
+    /// The bytes are truncated or are no manifest.
+    #[error("the bytes are not a valid manifest")]
     Malformed,
-    /// The change is of another version, or names another digest.
-    #[error("the change does not vouch for the manifest")]
+    /// The change has another version or another digest.
+    #[error("the change does not match the manifest")]
     NotVouched,
-    /// The bucket digests do not make up the digest.
-    #[error("the bucket digests do not make up the digest")]
+    /// The digest does not match the bucket digests.
+    #[error("the digest does not match the bucket digests")]
     Digest,
 }
 
-/// Why a step of an install is refused; the set is as it was.
+/// Why a step of an installation failed. The set is unchanged.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum InstallError {
     /// The manifest is not newer than the set.
     #[error("snapshot {got} is not newer than {have}")]
     Older {
-        /// The version held.
+        /// The version of the set.
         have: Version,
         /// The version of the manifest.
         got: Version,
     },
-    /// The manifest does not hold.
+    /// The manifest is invalid.
     #[error(transparent)]
     Manifest(#[from] ManifestError),
     /// The bucket does not differ, or there is none of this index.
-    #[error("bucket {0} was not asked for")]
-    Unwanted(u16),
-    /// The bucket has come before.
-    #[error("bucket {0} has come before")]
-    Doubled(u16),
-    /// The bytes are not those of the manifest: cut, changed, or of another version.
-    #[error("bucket {0} is not the one of the manifest")]
+    #[error("bucket {0} is not needed")]
+    NotNeeded(u16),
+    /// The bucket was received before.
+    #[error("bucket {0} was received before")]
+    AlreadyReceived(u16),
+    /// The bytes do not match the manifest: they are truncated, altered, or of another version.
+    #[error("bucket {0} does not match the manifest")]
     BucketDigest(u16),
-    /// The bytes are no bucket, although the manifest names them.
+    /// The bytes match the manifest, but are not a valid bucket.
     #[error(transparent)]
     Bucket(#[from] BucketError),
-    /// This bucket, and perhaps others, has not come.
-    #[error("bucket {0} has not come")]
+    /// This bucket, and perhaps others, is missing.
+    #[error("bucket {0} is missing")]
     Missing(u16),
-    /// The set has changed in a bucket that is not at hand.
-    #[error("the set has changed in a bucket that is not at hand")]
-    Moved,
+    /// The set has changed in a bucket that was not received.
+    #[error("the set has changed in a bucket that was not received")]
+    SetChanged,
 }
--- a/crates/destinations/src/stored.rs
+++ b/crates/destinations/src/stored.rs
@@ -5,7 +5,7 @@
 
 /// A destination and the canonical bytes of its endpoints: 24 bytes and about 30 for each endpoint.
 ///
-/// The bytes were made or checked by the codec, so reading them does not fail.
+/// The bytes were encoded or validated by the codec, so reading them cannot fail.
 #[derive(Debug)]
 pub(crate) struct StoredDestination {
     pub(crate) id: DestinationId,
@@ -13,14 +13,14 @@
 }
 
 impl StoredDestination {
-    /// Takes endpoints that are valid and ascend by id.
+    /// Creates a destination from valid endpoints in ascending order of ids.
     pub(crate) fn new(id: DestinationId, endpoints: &[Endpoint]) -> Self {
         let mut body = Vec::new();
         put_body(&mut body, endpoints);
         Self { id, body: body.into() }
     }
 
-    /// Takes a body as [`Reader::destination`](crate::codec::Reader::destination) gives it.
+    /// Creates a destination from a body that [`Reader::destination`](crate::codec::Reader::destination) returned.
     pub(crate) fn from_body(id: DestinationId, body: &[u8]) -> Self {
         Self { id, body: body.into() }
     }
--- a/crates/destinations/tests/apply.rs
+++ b/crates/destinations/tests/apply.rs
@@ -1,4 +1,4 @@
-//! Changes are taken on whole and in order, or not at all.
+//! Changes are applied atomically and in order, or refused.
 
 mod common;
 
@@ -8,16 +8,16 @@
     MAX_BUCKET_BYTES, MAX_ENDPOINTS, MAX_NAME_BYTES, MAX_OPERATIONS, Operation, Version,
 };
 
-/// Applies a change that must be refused, and checks that the set is as it was.
-fn refused(set: &mut DestinationSet, change: &Change) -> ApplyError {
+/// Applies a change that must be refused, and checks that the set is unchanged.
+fn apply_refused(set: &mut DestinationSet, change: &Change) -> ApplyError {
     let before = (set.version(), set.len(), set.manifest(), content(set));
-    let error = set.apply(change).expect_err("the change is to be refused");
+    let error = set.apply(change).expect_err("the change must be refused");
     assert_eq!((set.version(), set.len(), set.manifest(), content(set)), before);
     error
 }
 
-/// A change with operations that `prepare` would not let through.
-fn raw(set: &DestinationSet, operations: Vec<Operation>) -> Change {
+/// A change with operations that `prepare` would refuse.
+fn unchecked_change(set: &DestinationSet, operations: Vec<Operation>) -> Change {
     Change { operations, ..set.prepare(vec![]).expect("an empty change") }
 }
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_change_names_what_it_touched() {
+fn a_change_reports_the_changed_destinations() {
     let (mut set, _) = filled(3);
     let operations = vec![put(1, "b", 81), put(9, "a", 80), remove(2, "a"), put(8, "a", 1), remove_all(8)];
     let change = set.prepare(operations).unwrap();
@@ -50,45 +50,45 @@
 }
 
 #[test]
-fn doubled_older_and_skipping_changes_are_refused() {
+fn duplicate_older_and_skipping_changes_are_refused() {
     let (mut set, last) = filled(3);
     let (have, next) = (set.version(), set.prepare(vec![put(7, "a", 1)]).unwrap());
-    assert_eq!(refused(&mut set, &last), ApplyError::Older { have, got: have });
+    assert_eq!(apply_refused(&mut set, &last), ApplyError::Older { have, got: have });
     let late = Change { version: version(0, 0), ..next.clone() };
-    assert_eq!(refused(&mut set, &late), ApplyError::Older { have, got: late.version });
+    assert_eq!(apply_refused(&mut set, &late), ApplyError::Older { have, got: late.version });
     let far = Change { version: version(0, 3), ..next.clone() };
-    assert_eq!(refused(&mut set, &far), ApplyError::Gap { have, got: far.version });
+    assert_eq!(apply_refused(&mut set, &far), ApplyError::Gap { have, got: far.version });
     set.apply(&next).unwrap();
 }
 
 #[test]
-fn epochs_only_rise_and_begin_on_the_set_held() {
+fn epochs_only_increase_and_follow_the_present_set() {
     let (mut set, _) = filled(3);
     let have = set.version();
     let restored = set.prepare_in_epoch(2, vec![put(7, "a", 1)]).unwrap();
     let stranger = Change { previous_digest: Digest([7; 32]), ..restored.clone() };
-    assert_eq!(refused(&mut set, &stranger), ApplyError::OtherEpoch { have, got: restored.version });
+    assert_eq!(apply_refused(&mut set, &stranger), ApplyError::OtherEpoch { have, got: restored.version });
     let old = set.prepare(vec![put(7, "a", 1)]).unwrap();
     set.apply(&Change { version: version(2, 1), ..restored }).unwrap();
     let have = version(2, 1);
-    assert_eq!(refused(&mut set, &old), ApplyError::OlderEpoch { have, got: old.version });
+    assert_eq!(apply_refused(&mut set, &old), ApplyError::OlderEpoch { have, got: old.version });
     assert_eq!(set.prepare_in_epoch(1, vec![]), Err(ApplyError::OlderEpoch { have, got: version(1, 2) }));
 }
 
 #[test]
-fn digests_that_do_not_fit_are_refused() {
+fn digests_that_do_not_match_are_refused() {
     let (mut set, _) = filled(3);
     let good = set.prepare(vec![put(1, "b", 81)]).unwrap();
     let before = Change { previous_digest: Digest([0; 32]), ..good.clone() };
-    assert_eq!(refused(&mut set, &before), ApplyError::PreviousDigest);
+    assert_eq!(apply_refused(&mut set, &before), ApplyError::PreviousDigest);
     let after = Change { digest: Digest([0; 32]), ..good.clone() };
-    assert_eq!(refused(&mut set, &after), ApplyError::Digest);
+    assert_eq!(apply_refused(&mut set, &after), ApplyError::Digest);
     let other = Change { operations: vec![put(1, "b", 82)], ..good };
-    assert_eq!(refused(&mut set, &other), ApplyError::Digest);
+    assert_eq!(apply_refused(&mut set, &other), ApplyError::Digest);
 }
 
 #[test]
-fn removals_of_what_is_not_there_are_refused_whole() {
+fn removals_of_missing_destinations_or_endpoints_are_refused() {
     let (mut set, _) = filled(3);
     let unknown = |id| ApplyError::UnknownDestination(DestinationId(id));
     for (operation, error) in [
@@ -96,11 +96,11 @@
         (remove(9, "a"), unknown(9)),
         (remove(1, "z"), ApplyError::UnknownEndpoint(DestinationId(1), "z".to_owned())),
     ] {
-        let change = raw(&set, vec![put(5, "a", 1), operation]);
-        assert_eq!(refused(&mut set, &change), error);
+        let change = unchecked_change(&set, vec![put(5, "a", 1), operation]);
+        assert_eq!(apply_refused(&mut set, &change), error);
     }
-    let twice = raw(&set, vec![remove(1, "a"), remove_all(1)]);
-    assert_eq!(refused(&mut set, &twice), unknown(1));
+    let twice = unchecked_change(&set, vec![remove(1, "a"), remove_all(1)]);
+    assert_eq!(apply_refused(&mut set, &twice), unknown(1));
 }
 
 #[test]
@@ -116,26 +116,27 @@
     }
     for endpoint in bad {
         let expected = endpoint.validate().unwrap_err();
-        let change = raw(&set, vec![Operation::PutEndpoint { destination: DestinationId(1), endpoint }]);
-        let ApplyError::Endpoint(error) = refused(&mut set, &change) else { panic!("another error") };
+        let change =
+            unchecked_change(&set, vec![Operation::PutEndpoint { destination: DestinationId(1), endpoint }]);
+        let ApplyError::Endpoint(error) = apply_refused(&mut set, &change) else { panic!("another error") };
         assert!(error == expected || matches!(error, EndpointError::Rate(rate) if rate.is_nan()));
     }
 }
 
 #[test]
-fn too_much_is_refused() {
+fn changes_beyond_the_bounds_are_refused() {
     let (mut set, _) = filled(3);
-    let many = raw(&set, vec![put(1, "b", 1); MAX_OPERATIONS + 1]);
-    assert!(matches!(refused(&mut set, &many), ApplyError::TooLarge("operations", ..)));
+    let many = unchecked_change(&set, vec![put(1, "b", 1); MAX_OPERATIONS + 1]);
+    assert!(matches!(apply_refused(&mut set, &many), ApplyError::TooLarge("operations", ..)));
     let crowd = (0..=MAX_ENDPOINTS).map(|number| put(1, &format!("e{number}"), 1)).collect();
-    let crowd = raw(&set, crowd);
-    assert!(matches!(refused(&mut set, &crowd), ApplyError::TooLarge("endpoints", ..)));
+    let crowd = unchecked_change(&set, crowd);
+    assert!(matches!(apply_refused(&mut set, &crowd), ApplyError::TooLarge("endpoints", ..)));
     let large = vec![put(1, &"x".repeat(MAX_NAME_BYTES), 1); 32];
     assert!(matches!(set.prepare(large), Err(ApplyError::Encoding(_))));
 }
 
 #[test]
-fn a_bucket_that_would_outgrow_a_snapshot_is_refused() {
+fn a_bucket_beyond_its_maximum_size_is_refused() {
     let mut set = DestinationSet::new();
     let same = (0..).filter(|id| destinations::bucket_of(DestinationId(*id)) == 0);
     let long = "x".repeat(MAX_NAME_BYTES);
@@ -148,7 +149,7 @@
 }
 
 #[test]
-fn a_rollback_returns_to_the_digest_and_goes_forward_in_number() {
+fn a_rollback_restores_the_digest_under_the_next_number() {
     let (mut set, _) = filled(3);
     let digest = set.digest();
     let operations = vec![put(1, "a", 9), put(1, "b", 9), remove_all(0), put(9, "a", 1), remove(2, "a")];
@@ -160,7 +161,7 @@
 }
 
 #[test]
-fn the_digest_of_a_known_set_stays_what_it_is() {
+fn the_digest_of_a_known_set_is_stable() {
     let (set, _) = filled(3);
     assert_eq!(
         DestinationSet::new().digest().to_string(),
--- a/crates/destinations/tests/common/mod.rs
+++ b/crates/destinations/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests have in common.
+//! Helpers shared by the tests.
 #![allow(dead_code)]
 
 use destinations::{
@@ -69,9 +69,9 @@
     SignedChange::sign(change, &key(1)).expect("within bounds")
 }
 
-/// A manifest that differs from the empty set in one bucket of these bytes, and a change that vouches for it. The
-/// hash tree is worked out here anew, from its description.
-pub fn vouched(index: u16, bytes: &[u8]) -> (Manifest, Change) {
+/// A manifest that differs from the empty set in one bucket of these bytes, and a change that authenticates it. The
+/// hash tree is computed here independently, from its description.
+pub fn authenticated(index: u16, bytes: &[u8]) -> (Manifest, Change) {
     let hash = |parts: &[&[u8]]| Digest(Sha256::digest(parts.concat()).into());
     let nodes = |nodes: &[Digest]| nodes.iter().flat_map(|node| node.0).collect::<Vec<u8>>();
     let mut bucket_digests = DestinationSet::new().manifest().bucket_digests;
--- a/crates/destinations/tests/file.rs
+++ b/crates/destinations/tests/file.rs
@@ -1,4 +1,4 @@
-//! A set comes back from its file as it was, or not at all.
+//! A set is restored from its file exactly, or the file is refused.
 
 mod common;
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_set_comes_back_whatever_the_pieces() {
+fn a_set_is_restored_from_pieces_of_any_length() {
     let (set, _) = filled(500);
     let file = encode(&set).collect::<Vec<_>>().concat();
     for piece in [1, 7, 4096, file.len()] {
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_file_made_piece_by_piece_is_the_same_and_is_given_up_once_the_set_changes() {
+fn encoding_piece_by_piece_gives_the_same_file_and_fails_once_the_set_changes() {
     let (mut set, _) = filled(500);
     let mut encoder = Encoder::new(&set);
     let mut pieces = Vec::new();
@@ -33,31 +33,31 @@
         pieces.push(piece);
     }
     assert_eq!(pieces.concat(), encode(&set).collect::<Vec<_>>().concat());
-    assert_eq!(encoder.next_piece(&set), Ok(None), "and nothing follows");
+    assert_eq!(encoder.next_piece(&set), Ok(None), "no piece follows");
     let mut encoder = Encoder::new(&set);
     assert!(matches!(encoder.next_piece(&set), Ok(Some(_))));
     publish(&mut set, vec![]);
-    assert_eq!(encoder.next_piece(&set), Err(SetChanged), "also where only the version is another");
+    assert_eq!(encoder.next_piece(&set), Err(SetChanged), "even if only the version differs");
 }
 
-/// Every byte of the header, of the first and last buckets and of the checksum, and places all over the rest, where
+/// Every byte of the header, of the first and last buckets and of the checksum, and positions spread over the rest, where
 /// most buckets are empty.
-fn places(length: usize) -> impl Iterator<Item = usize> {
+fn positions(length: usize) -> impl Iterator<Item = usize> {
     (0..200).chain((200..length - 200).step_by(7)).chain(length - 200..length)
 }
 
 #[test]
-fn a_file_cut_at_any_byte_is_refused() {
+fn a_file_truncated_at_any_byte_is_refused() {
     let file = encode(&filled(30).0).collect::<Vec<_>>().concat();
-    for length in places(file.len()) {
-        assert_eq!(read(&file[..length], 4096).err(), Some(FileError::Cut), "cut at {length}");
+    for length in positions(file.len()) {
+        assert_eq!(read(&file[..length], 4096).err(), Some(FileError::Truncated), "truncated at {length}");
     }
 }
 
 #[test]
 fn a_file_altered_at_any_byte_is_refused() {
     let mut file = encode(&filled(30).0).collect::<Vec<_>>().concat();
-    for position in places(file.len()) {
+    for position in positions(file.len()) {
         file[position] ^= 1;
         assert!(read(&file, 4096).is_err(), "altered at {position}");
         file[position] ^= 1;
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_file_says_what_is_wrong_with_it() {
+fn each_fault_of_a_file_has_its_own_error() {
     let mut file = encode(&filled(5).0).collect::<Vec<_>>().concat();
     let checksum = file.len() - 1;
     file[checksum] ^= 1;
--- a/crates/destinations/tests/model.rs
+++ b/crates/destinations/tests/model.rs
@@ -1,4 +1,4 @@
-//! Whatever is applied, a set equals a plain map, and its digest says what it holds.
+//! A set equals a plain map after any operations, and sets of equal content have equal digests.
 
 mod common;
 
@@ -12,7 +12,7 @@
 
 type Model = BTreeMap<DestinationId, BTreeMap<String, Endpoint>>;
 
-/// Applies operations to the model; none if one does not fit.
+/// Applies operations to the model. `None` if one cannot be applied.
 fn model_apply(model: &Model, operations: &[Operation]) -> Option<Model> {
     let mut model = model.clone();
     for operation in operations {
@@ -62,7 +62,7 @@
     assert_eq!(set.len(), model.len());
 }
 
-/// A set with the model's content, put in one by one from the back.
+/// A set with the model's content, inserted one by one in reverse order.
 fn rebuilt(model: &Model) -> DestinationSet {
     let mut set = DestinationSet::new();
     for (id, endpoints) in model.iter().rev() {
@@ -97,14 +97,14 @@
         assert_equals_model(&set, &model);
         prop_assert_eq!(set.digest(), rebuilt(&model).digest());
 
-        // By the log.
+        // From the log.
         for change in log.since(follower.version()).unwrap() {
             follower.apply(&change.verify(&keys).unwrap()).unwrap();
         }
         prop_assert_eq!(follower.manifest(), set.manifest());
         assert_equals_model(&follower, &model);
 
-        // By a snapshot, onto a set that holds something else.
+        // By a snapshot, onto a set of other content.
         if let Some(last) = last.filter(|change| change.version.number > 1) {
             let mut other = DestinationSet::new();
             publish(&mut other, vec![common::put(3, "z", 1)]);
@@ -117,7 +117,7 @@
             assert_equals_model(&other, &model);
         }
 
-        // By a file, which recomputes every digest.
+        // From a file, which recomputes every digest.
         let mut decoder = persist::Decoder::new();
         persist::encode(&set).try_for_each(|piece| decoder.push(&piece)).unwrap();
         let read = decoder.finish().unwrap();
--- a/crates/destinations/tests/snapshot.rs
+++ b/crates/destinations/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! A snapshot is swapped in whole, or the last good set stays.
+//! A snapshot is installed atomically, or the previous set stays.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 
 /// A set that is some changes ahead of another, the last of these changes, and the other set.
-fn apart() -> (DestinationSet, Change, DestinationSet) {
+fn sets_apart() -> (DestinationSet, Change, DestinationSet) {
     let (behind, _) = filled(200);
     let (mut ahead, _) = filled(200);
     publish(&mut ahead, vec![put(1, "b", 81)]);
@@ -19,21 +19,21 @@
     (ahead, last, behind)
 }
 
-fn take_all(install: &mut SnapshotInstall, from: &DestinationSet) {
+fn receive_all(install: &mut SnapshotInstall, from: &DestinationSet) {
     for index in install.missing().collect::<Vec<_>>() {
         install.take(index, &from.bucket(index).unwrap()).unwrap();
     }
 }
 
 #[test]
-fn only_differing_buckets_are_taken_and_the_changes_named() {
-    let (ahead, last, mut set) = apart();
+fn only_differing_buckets_are_needed_and_changes_are_reported() {
+    let (ahead, last, mut set) = sets_apart();
     let mut install = SnapshotInstall::begin(&set, ahead.manifest(), &last).unwrap();
-    let mut wanted: Vec<_> = [1, 2, 900].map(|id| bucket_of(DestinationId(id))).to_vec();
-    wanted.sort();
-    assert_eq!(install.missing().collect::<Vec<_>>(), wanted);
-    assert_eq!(set.differing(&ahead.manifest()), wanted);
-    take_all(&mut install, &ahead);
+    let mut expected: Vec<_> = [1, 2, 900].map(|id| bucket_of(DestinationId(id))).to_vec();
+    expected.sort();
+    assert_eq!(install.missing().collect::<Vec<_>>(), expected);
+    assert_eq!(set.differing(&ahead.manifest()), expected);
+    receive_all(&mut install, &ahead);
     let mut applied = install.finish(&mut set).unwrap();
     applied.changes.sort();
     let (one, two, new) = (DestinationId(1), DestinationId(2), DestinationId(900));
@@ -45,8 +45,8 @@
 }
 
 #[test]
-fn nothing_is_swapped_in_until_all_is_there() {
-    let (ahead, last, mut set) = apart();
+fn nothing_is_installed_until_all_buckets_are_received() {
+    let (ahead, last, mut set) = sets_apart();
     let before = (set.manifest(), content(&set));
     let mut install = SnapshotInstall::begin(&set, ahead.manifest(), &last).unwrap();
     for index in install.missing().collect::<Vec<_>>() {
@@ -58,8 +58,8 @@
 }
 
 #[test]
-fn buckets_that_are_wrong_doubled_unknown_or_cut_are_refused() {
-    let (ahead, last, mut set) = apart();
+fn wrong_duplicate_unknown_and_truncated_buckets_are_refused() {
+    let (ahead, last, mut set) = sets_apart();
     let mut install = SnapshotInstall::begin(&set, ahead.manifest(), &last).unwrap();
     let index = bucket_of(DestinationId(1));
     let bytes = ahead.bucket(index).unwrap();
@@ -76,19 +76,19 @@
     assert_eq!(oversize, Err(InstallError::Bucket(BucketError::TooLarge(long))));
     let same = (0..BUCKETS as u16).find(|index| !set.differing(&ahead.manifest()).contains(index)).unwrap();
     for unwanted in [same, BUCKETS as u16, u16::MAX] {
-        assert_eq!(install.take(unwanted, &bytes), Err(InstallError::Unwanted(unwanted)));
+        assert_eq!(install.take(unwanted, &bytes), Err(InstallError::NotNeeded(unwanted)));
     }
     install.take(index, &bytes).unwrap();
-    assert_eq!(install.take(index, &bytes), Err(InstallError::Doubled(index)));
-    take_all(&mut install, &ahead);
+    assert_eq!(install.take(index, &bytes), Err(InstallError::AlreadyReceived(index)));
+    receive_all(&mut install, &ahead);
     install.finish(&mut set).unwrap();
     assert_eq!(set.manifest(), ahead.manifest());
     assert!(ahead.bucket(BUCKETS as u16).is_none());
 }
 
 #[test]
-fn a_manifest_that_the_change_does_not_vouch_for_is_refused() {
-    let (ahead, last, set) = apart();
+fn a_manifest_that_does_not_match_the_change_is_refused() {
+    let (ahead, last, set) = sets_apart();
     let begin = |manifest: Manifest, change: &Change| SnapshotInstall::begin(&set, manifest, change).err();
     let refused = |error: ManifestError| Some(InstallError::Manifest(error));
     let other = Change { version: Version { epoch: 0, number: 99 }, ..last.clone() };
@@ -107,8 +107,8 @@
 }
 
 #[test]
-fn a_version_never_goes_back_but_a_newer_epoch_may_have_a_lower_number() {
-    let (mut ahead, last, mut set) = apart();
+fn an_older_version_is_refused_but_a_newer_epoch_may_have_a_lower_number() {
+    let (mut ahead, last, mut set) = sets_apart();
     let older = set.manifest();
     let refused = SnapshotInstall::begin(&ahead, older.clone(), &last).unwrap_err();
     assert_eq!(refused, InstallError::Older { have: ahead.version(), got: older.version });
@@ -120,7 +120,7 @@
     rebuilt.apply(&first).unwrap();
     let mut install = SnapshotInstall::begin(&set, rebuilt.manifest(), &first).unwrap();
     assert!(install.version() > set.version() && install.version().number < set.version().number);
-    take_all(&mut install, &rebuilt);
+    receive_all(&mut install, &rebuilt);
     install.finish(&mut set).unwrap();
     assert_eq!((set.manifest(), set.len()), (rebuilt.manifest(), 1));
     let late = SnapshotInstall::begin(&set, ahead.manifest(), &last).unwrap_err();
@@ -129,25 +129,25 @@
 }
 
 #[test]
-fn a_set_that_moved_on_meanwhile_is_not_mixed() {
-    let (ahead, last, mut set) = apart();
+fn a_set_that_changed_meanwhile_is_not_mixed_with_the_snapshot() {
+    let (ahead, last, mut set) = sets_apart();
     let mut install = SnapshotInstall::begin(&set, ahead.manifest(), &last).unwrap();
-    take_all(&mut install, &ahead);
+    receive_all(&mut install, &ahead);
     publish(&mut set, vec![put(100, "other", 1)]);
     let before = (set.manifest(), content(&set));
-    assert_eq!(install.finish(&mut set), Err(InstallError::Moved));
+    assert_eq!(install.finish(&mut set), Err(InstallError::SetChanged));
     assert_eq!((set.manifest(), content(&set)), before);
     (0..5).for_each(|_| drop(publish(&mut set, vec![])));
     assert!(matches!(install.finish(&mut set), Err(InstallError::Older { .. })));
 }
 
-/// Even what control signed is refused if it is no sound bucket.
+/// A bucket that matches a signed change is still refused if it is not canonical.
 #[test]
-fn a_vouched_bucket_that_is_not_canonical_is_refused() {
+fn an_authenticated_bucket_that_is_not_canonical_is_refused() {
     let index = bucket_of(DestinationId(1));
     let one = filled(2).0.bucket(index).unwrap();
     let cases = [
-        (one[..one.len() - 1].to_vec(), CodecError::Cut.into()),
+        (one[..one.len() - 1].to_vec(), CodecError::Truncated.into()),
         ([&one[..], &one].concat(), CodecError::Order.into()),
         ([&one[..8], &[0]].concat(), CodecError::EndpointCount(0).into()),
         ([&one[..8], &[255]].concat(), CodecError::EndpointCount(255).into()),
@@ -156,7 +156,7 @@
         ([&0_i64.to_le_bytes(), &one[8..]].concat(), BucketError::Misplaced(DestinationId(0))),
     ];
     for (bytes, error) in cases {
-        let (manifest, change) = common::vouched(index, &bytes);
+        let (manifest, change) = common::authenticated(index, &bytes);
         let set = DestinationSet::new();
         let mut install = SnapshotInstall::begin(&set, manifest, &change).unwrap();
         assert_eq!(install.take(index, &bytes), Err(InstallError::Bucket(error)));
@@ -166,9 +166,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// There is one encoding of a bucket: what is taken in comes out as it was.
+    /// A bucket has only one encoding: an accepted one is encoded again to the same bytes.
     #[test]
-    fn a_vouched_bucket_is_refused_or_canonical(
+    fn an_authenticated_bucket_is_refused_or_canonical(
         mut bytes in prop::collection::vec(any::<u8>(), 0..80), place in any::<usize>(), alter in any::<bool>(),
     ) {
         let index = bucket_of(DestinationId(1));
@@ -178,7 +178,7 @@
             let place = place % bytes.len();
             bytes[place] ^= byte;
         }
-        let (manifest, change) = common::vouched(index, &bytes);
+        let (manifest, change) = common::authenticated(index, &bytes);
         let mut set = DestinationSet::new();
         let mut install = SnapshotInstall::begin(&set, manifest, &change).unwrap();
         let missing = install.missing().collect::<Vec<_>>();
--- a/crates/destinations/tests/wire.rs
+++ b/crates/destinations/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Signed changes, manifests and the log, as they come from others.
+//! Signed changes, manifests and the log, as received from other machines.
 
 mod common;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_signed_change_comes_through_with_any_control_key() {
+fn a_signed_change_is_verified_with_any_control_key() {
     let encoded = signed(&change()).encode();
     let read = SignedChange::decode(&encoded).unwrap();
     assert_eq!(read.encoded_len(), encoded.len());
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_change_cut_or_altered_at_any_byte_is_refused() {
+fn a_change_truncated_or_altered_at_any_byte_is_refused() {
     let (encoded, keys) = (signed(&change()).encode(), control_keys(&[1]));
     for length in 0..encoded.len() {
         let read = SignedChange::decode(&encoded[..length]);
@@ -46,10 +46,10 @@
 }
 
 #[test]
-fn the_bytes_of_a_change_are_cut_nowhere_and_followed_by_nothing() {
+fn truncated_changes_and_trailing_bytes_are_refused() {
     let mut bytes = change().encode().unwrap();
     for length in 0..bytes.len() {
-        assert_eq!(Change::decode(&bytes[..length]), Err(DecodeError::Malformed), "cut at {length}");
+        assert_eq!(Change::decode(&bytes[..length]), Err(DecodeError::Malformed), "truncated at {length}");
     }
     bytes.push(0);
     assert_eq!(Change::decode(&bytes), Err(DecodeError::Trailing(1)));
@@ -73,19 +73,19 @@
     assert_eq!(ControlKeys::new(&[]).unwrap_err(), KeyError::Count(0));
     let many = vec![good; MAX_CONTROL_KEYS + 1];
     assert_eq!(ControlKeys::new(&many).unwrap_err(), KeyError::Count(MAX_CONTROL_KEYS + 1));
-    // The neutral point, under which one signature holds for every message.
+    // The neutral point, for which one signature is valid for every message.
     let mut weak = [0; 32];
     weak[0] = 1;
     assert_eq!(ControlKeys::new(&[good, weak]).unwrap_err(), KeyError::Invalid { position: 1 });
 }
 
 #[test]
-fn a_manifest_comes_through_and_is_refused_cut_or_long() {
+fn a_manifest_is_decoded_and_refused_if_truncated_or_too_long() {
     let manifest = filled(100).0.manifest();
     let mut bytes = manifest.encode().unwrap();
     assert!(bytes.len() <= Manifest::MAX_BYTES);
     assert_eq!(Manifest::decode(&bytes), Ok(manifest.clone()));
-    // Every byte of the head and the first digests, and places all over the rest, which is alike.
+    // Every byte of the header and the first digests, and positions spread over the rest, which has the same structure.
     for length in (0..200).chain((200..bytes.len()).step_by(101)).chain([bytes.len() - 1]) {
         assert_eq!(Manifest::decode(&bytes[..length]), Err(ManifestError::Malformed));
     }
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_log_keeps_the_latest_changes_without_a_gap() {
+fn a_log_keeps_the_latest_changes_without_gaps() {
     let (change, version) = (signed(&change()), |epoch, number| Version { epoch, number });
     let mut log = ChangeLog::new(version(0, 0), LogLimits { changes: 3, bytes: 1 << 20 });
     (1..=5).for_each(|number| log.push(version(0, number), change.clone()).unwrap());
@@ -133,7 +133,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_bytes_make_a_decoder_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_do_not_panic_in_a_decoder(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let _ = Change::decode(&bytes);
         let _ = Manifest::decode(&bytes);
         let mut file = destinations::persist::Decoder::new();
--- a/crates/rollout/src/error.rs
+++ b/crates/rollout/src/error.rs
@@ -81,7 +81,9 @@
         match self {
             Self::Malformed | Self::Decode(_) | Self::Mislabelled { .. } => Kind::Malformed,
             Self::Unasked(_) | Self::NotControl => Kind::Unasked,
-            Self::Fragment(FragmentError::Doubled) | Self::Install(InstallError::Doubled(_)) => Kind::Doubled,
+            Self::Fragment(FragmentError::Doubled) | Self::Install(InstallError::AlreadyReceived(_)) => {
+                Kind::Doubled
+            }
             Self::Fragment(_) => Kind::Malformed,
             Self::Verify(VerifyError::Signature) => Kind::Forged,
             Self::Verify(VerifyError::Decode(_)) => Kind::Malformed,
