--- a/src/fleet/maintenance.rs
+++ b/src/fleet/maintenance.rs
@@ -18,7 +18,7 @@
 
 use super::state_file;
 use crate::interface::Micros;
-use crate::standing::{Phase, Standing};
+use crate::standing::{Phase, ProcessStatus};
 
 /// Interval at which a draining relay is checked, in microseconds.
 const DRAIN_CHECK_INTERVAL: Micros = 100_000;
@@ -43,7 +43,7 @@
 pub(super) struct Maintenance {
     pub(super) node: Node,
     me: Peer,
-    standing: Arc<Standing>,
+    standing: Arc<ProcessStatus>,
     /// Notified when the process has to exit.
     shutdown: Arc<Notify>,
     file: PathBuf,
@@ -65,13 +65,13 @@
 impl Maintenance {
     pub(super) fn new(
         setup: MaintenanceSetup, (me, relays, incarnation): (Peer, Peer, u32), state: &Path, now: Micros,
-        standing: Arc<Standing>, shutdown: Arc<Notify>,
+        standing: Arc<ProcessStatus>, shutdown: Arc<Notify>,
     ) -> Self {
         let file = state.join("turns");
         let persisted: PersistedState = state_file::read(&file);
         // The standby was set for the maintenance that this start ends, not by operators.
         if persisted.slot.is_some() && standing.standby() {
-            let _ = standing.order(false);
+            let _ = standing.set_standby(false);
         }
         let policy = MaintenancePolicy { relays, max_unavailable: setup.max_unavailable, zones: setup.zones };
         let node = Node::new(Config { me, incarnation, policy }, now, &persisted);
@@ -154,7 +154,7 @@
                     false
                 }
             };
-            if let Err(error) = self.standing.order(standby) {
+            if let Err(error) = self.standing.set_standby(standby) {
                 warn!("cannot change the standby state for maintenance: {error}");
             } else {
                 self.drained_for_maintenance = standby;
