--- a/src/runtime/actions.rs
+++ b/src/runtime/actions.rs
@@ -28,28 +28,32 @@
 
     fn carry_out_one(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send { id, target, timeout, by } => self.send(id, target, (by, now + timeout)),
+            Action::Send { id, target, timeout, send_by } => self.send(id, target, (send_by, now + timeout)),
             Action::Cancel { id, attempt } => self.effects.push(Effect::CallOff(id, attempt)),
-            Action::Refuse { id, after } => self.give_up(id, true, after),
+            Action::Refuse { id, retry_after } => self.give_up(id, true, retry_after),
             Action::Fail(id) => self.give_up(id, false, None),
-            Action::Timer { token, after } => drop(self.timers.insert((now + after, token))),
-            Action::Close(target) => self.effects.push(Effect::Close(target)),
-            Action::Want { destination, tiers } => self.tell_fleet(ToFleet::Want(destination.0, tiers)),
-            Action::WantRepeats { destination, tiers } => {
-                self.tell_fleet(ToFleet::WantRepeats(destination.0, tiers));
+            Action::SetTimer { token, after } => drop(self.timers.insert((now + after, token))),
+            Action::CloseIdle(target) => self.effects.push(Effect::Close(target)),
+            Action::RequestGrants { destination, waiting } => {
+                self.tell_fleet(ToFleet::Want(destination.0, waiting))
+            }
+            Action::RequestRetryTokens { destination, waiting } => {
+                self.tell_fleet(ToFleet::WantRepeats(destination.0, waiting));
             }
             // The platform's settings permit no probes, and the list is always watched.
-            Action::Probe(_) | Action::Watch => {}
+            Action::Probe(_) | Action::SubscribeList => {}
         }
     }
 
     /// Starts the next attempt of a message, with the latest time to start and the deadline of the call.
     fn send(&mut self, id: MessageId, target: TargetId, (start_by, deadline): (Micros, Micros)) {
-        let Some(lane) = self.relay.lane(target) else { return };
+        let Some(lane) = self.relay.send_path(target) else { return };
         let Some(held) = self.held.get_mut(&id) else { return };
         let Some(address) = self.addresses.get(&target).cloned() else { return };
-        let effect =
-            self.classes.terms(held.class).map_or(crate::interface::Effect::Unsafe, |terms| terms.effect);
+        let effect = self
+            .classes
+            .parameters(held.class)
+            .map_or(crate::interface::Effect::NonIdempotent, |terms| terms.effect);
         let attempt = held.attempts;
         let exchange = held.exchange.clone();
         held.attempts += 1;
@@ -60,7 +64,7 @@
             Begun { at, endpoint }
         });
         // A first attempt earns the fleet's retry budget its share.
-        if attempt == 0 && self.settings.repeats {
+        if attempt == 0 && self.settings.retry_budget {
             self.tell_fleet(ToFleet::First(exchange.destination));
         }
         // The feature records an attempt only after the fact, so that the proofs show that they detect it.
--- a/src/runtime/destinations.rs
+++ b/src/runtime/destinations.rs
@@ -13,15 +13,15 @@
 
 impl Runtime {
     /// The destination set has changed, in whole or in part.
-    pub(super) fn listed(&mut self, form: ListForm, members: Vec<Member>) {
+    pub(super) fn listed(&mut self, form: ListUpdate, members: Vec<Member>) {
         let mut raw = Vec::new();
         let mut gone: HashSet<TargetId> = HashSet::new();
-        if form == ListForm::All {
+        if form == ListUpdate::Full {
             gone.extend(self.addresses.keys());
         }
         for member in members {
             let target = self.names.target(&member.id);
-            if member.entry.listed() == Listed::Gone {
+            if member.entry.listed() == ServiceState::Removed {
                 gone.insert(target);
             } else {
                 gone.remove(&target);
@@ -32,10 +32,10 @@
         }
         let entries = self.read_entries(&raw);
         for entry in &entries {
-            self.caller.clearance().listed(entry.target, entry.listed == Listed::InService);
+            self.caller.clearance().listed(entry.target, entry.state == ServiceState::InService);
         }
         self.tell_rates(&entries);
-        self.handle(Event::List(form, entries));
+        self.handle(Event::EndpointList(form, entries));
         gone.into_iter().for_each(|target| self.remove_target(target));
     }
 
@@ -49,7 +49,7 @@
     }
 
     /// Reads the entries. One that is invalid is logged and does not hide the others.
-    fn read_entries(&mut self, raw: &[RawEntry]) -> Vec<Entry> {
+    fn read_entries(&mut self, raw: &[RawEntry]) -> Vec<EndpointEntry> {
         let read = raw.iter().filter_map(|entry| {
             let read = self.names.entries(std::slice::from_ref(entry));
             read.inspect_err(|error| warn!("destination set: {error}")).ok()
@@ -58,8 +58,8 @@
     }
 
     /// Tells the fleet the rates of the destinations in service.
-    fn tell_rates(&self, entries: &[Entry]) {
-        let in_service = entries.iter().filter(|entry| entry.listed == Listed::InService);
+    fn tell_rates(&self, entries: &[EndpointEntry]) {
+        let in_service = entries.iter().filter(|entry| entry.state == ServiceState::InService);
         let rates = in_service.map(|entry| (entry.destination.0, entry.rate)).collect();
         self.tell_fleet(ToFleet::Listed(rates));
     }
--- a/src/runtime/handover.rs
+++ b/src/runtime/handover.rs
@@ -138,7 +138,7 @@
     }
 
     fn drop_message(&mut self, message: &HeldNow) {
-        self.classes.release(message.class);
-        self.handle(Event::Gone(message.message));
+        self.classes.remove_message(message.class);
+        self.handle(Event::Withdrawn(message.message));
     }
 }
--- a/src/runtime/inputs.rs
+++ b/src/runtime/inputs.rs
@@ -21,18 +21,18 @@
             Input::Heard(heard) => self.call_heard(heard),
             Input::Answered(answered) => self.call_answered(answered),
             Input::Listed(form, members) => self.listed(form, members),
-            Input::Told(hearsay) => self.handle(Event::Told(hearsay)),
-            Input::Permitted(given) => self.handle(Event::Permitted {
+            Input::Told(hearsay) => self.handle(Event::PeerObserved(hearsay)),
+            Input::Permitted(given) => self.handle(Event::Granted {
                 destination: DestinationId(given.destination),
-                permits: given.permits,
-                few: given.few,
+                grants: given.permits,
+                few_connections: given.few,
             }),
             Input::Waits(destination, waits) => {
-                self.handle(Event::Waits { destination: DestinationId(destination), waits });
+                self.handle(Event::QueueWaits { destination: DestinationId(destination), waits });
             }
-            Input::Repeats(handed) => self.handle(Event::Repeats {
+            Input::Repeats(handed) => self.handle(Event::RetryTokens {
                 destination: DestinationId(handed.destination),
-                repeats: handed.repeats,
+                tokens: handed.repeats,
                 waits: handed.waits,
             }),
             Input::Receipt(receipt, late) => self.receipt(receipt, late),
@@ -66,7 +66,7 @@
     fn stop(&mut self, until: Micros) {
         self.stop = Some((self.clock.now(), until));
         self.caller.clearance().stop(self.settings.last_start(until));
-        self.handle(Event::Stop(until));
+        self.handle(Event::Shutdown(until));
     }
 
     /// Applies other settings to the module, to new messages and to the clients' side.
@@ -83,6 +83,6 @@
     /// Gives the module the settings, with all class terms under which messages are held.
     pub(super) fn tell_settings(&mut self) {
         let settings = Settings { classes: self.classes.all(), ..self.settings.clone() };
-        self.handle(Event::Retuned(Box::new(settings)));
+        self.handle(Event::SettingsChanged(Box::new(settings)));
     }
 }
--- a/src/runtime/intake.rs
+++ b/src/runtime/intake.rs
@@ -93,7 +93,7 @@
             body: exchange.body.clone(),
             attempts: 0,
             may_have_run: false,
-            terms: self.classes.terms(class).cloned(),
+            terms: self.classes.parameters(class).cloned(),
             trace,
         }
     }
@@ -106,7 +106,7 @@
         let id = MessageId(self.met);
         let Exchange { due, destination, .. } = *exchange;
         let tenant = exchange.tenant.as_deref().and_then(|tenant| self.names.tenant(tenant));
-        self.classes.hold(class);
+        self.classes.add_message(class);
         self.ids.insert(exchange.id.clone(), id);
         self.held_bytes += exchange.body.len();
         let held = Held {
@@ -132,7 +132,7 @@
         if held.call.is_none() {
             self.finish(message, RecordedOutcome::Withdrawn, None);
         }
-        self.handle(Event::Gone(message));
+        self.handle(Event::Withdrawn(message));
     }
 }
 
@@ -141,8 +141,8 @@
 fn take_answer(id: MessageId, actions: &mut Vec<Action>) -> Answer {
     let mut answer = Answer::Taken;
     actions.retain(|action| match action {
-        Action::Refuse { id: refused, after } if *refused == id => {
-            answer = Answer::Refused("refused".into(), *after);
+        Action::Refuse { id: refused, retry_after } if *refused == id => {
+            answer = Answer::Refused("refused".into(), *retry_after);
             false
         }
         Action::Fail(failed) if *failed == id => {
--- a/src/runtime/outage.rs
+++ b/src/runtime/outage.rs
@@ -94,7 +94,7 @@
     /// The answer to a message that comes while the store fails.
     pub(super) fn refused_by_store(&self) -> Option<Answer> {
         self.outage.as_ref()?;
-        let advice = self.settings.longest_advice.map_or(MAX_RETRY, |most| most.min(MAX_RETRY));
+        let advice = self.settings.max_retry_after.map_or(MAX_RETRY, |most| most.min(MAX_RETRY));
         Some(Answer::Refused(UNAVAILABLE.into(), Some(advice)))
     }
 
@@ -182,10 +182,18 @@
         match call {
             Some(call) => {
                 let OutboundCall { attempt, target, .. } = call;
-                let (outcome, verdict, report) = (Outcome::Skipped, Verdict::Over, Report::default());
-                self.handle(Event::Done(Done { id, attempt, target, outcome, took: 0, verdict, report }));
+                let (outcome, verdict, report) = (Outcome::Skipped, Verdict::Over, LimitReport::default());
+                self.handle(Event::AttemptEnded(AttemptResult {
+                    id,
+                    attempt,
+                    target,
+                    outcome,
+                    elapsed: 0,
+                    decision: verdict,
+                    report,
+                }));
             }
-            None => self.handle(Event::Gone(id)),
+            None => self.handle(Event::Withdrawn(id)),
         }
     }
 
@@ -194,7 +202,7 @@
         let (id, attempt, target) = (call.exchange.id.clone(), call.attempt, call.target);
         // Its end counts one call less in flight, and it was not counted.
         self.out += 1;
-        let (began, report, evidence) = (self.clock.now(), Report::default(), Evidence::default());
+        let (began, report, evidence) = (self.clock.now(), LimitReport::default(), Evidence::default());
         let outcome = Outcome::Skipped;
         let end = CallEnd {
             id: id.clone(),
--- a/src/runtime/outcomes.rs
+++ b/src/runtime/outcomes.rs
@@ -49,9 +49,9 @@
         if withdrawn {
             verdict = Verdict::Over;
         }
-        let done = Done { id, attempt, target, outcome, took, verdict, report };
+        let done = AttemptResult { id, attempt, target, outcome, elapsed: took, decision: verdict, report };
         self.hold_back(&done, now);
-        self.handle(Event::Done(done));
+        self.handle(Event::AttemptEnded(done));
     }
 
     /// Something was heard of a call that may end its message. It is stored with whatever is decided next.
@@ -74,10 +74,17 @@
         let destination = held.exchange.destination;
         let Answered { attempt, target, outcome, began, at, report, .. } = answered;
         self.tell_fleet(fleet::ended(destination, outcome, (began, at), &report));
-        let done =
-            Done { id, attempt, target, outcome, took: at - began, verdict: outcome.verdict(), report };
+        let done = AttemptResult {
+            id,
+            attempt,
+            target,
+            outcome,
+            elapsed: at - began,
+            decision: outcome.verdict(),
+            report,
+        };
         self.hold_back(&done, self.clock.now());
-        self.handle(Event::Answered(done));
+        self.handle(Event::AttemptAnswered(done));
     }
 
     /// A call ended after its message did. It is worth recording that it took effect all the same.
@@ -97,8 +104,8 @@
 
     /// Holds back calls that are not sent yet, where an answer tells to wait. This also covers answers that another
     /// process received.
-    fn hold_back(&self, done: &Done, now: Micros) {
-        if let (Some(wait), Some(lane)) = (done.told_wait(), self.relay.lane(done.target)) {
+    fn hold_back(&self, done: &AttemptResult, now: Micros) {
+        if let (Some(wait), Some(lane)) = (done.requested_wait(), self.relay.send_path(done.target)) {
             self.caller.clearance().wait(lane, now + wait);
         }
     }
@@ -121,7 +128,9 @@
 
     /// Whether messages of a class are non-idempotent.
     fn once(&self, class: usize) -> bool {
-        self.classes.terms(class).is_none_or(|terms| terms.effect == crate::interface::Effect::Unsafe)
+        self.classes
+            .parameters(class)
+            .is_none_or(|terms| terms.effect == crate::interface::Effect::NonIdempotent)
     }
 
     /// Releases a message.
@@ -129,7 +138,7 @@
         let held = self.held.remove(&id)?;
         self.ids.remove(&held.exchange.id);
         self.held_bytes -= held.exchange.body.len();
-        if self.classes.release(held.class) {
+        if self.classes.remove_message(held.class) {
             self.freed = true;
         }
         Some(held)
--- a/src/runtime/recovery.rs
+++ b/src/runtime/recovery.rs
@@ -22,10 +22,10 @@
     /// # Errors
     /// Where the store fails.
     pub fn resume(
-        &mut self, known: Vec<Member>, said: Vec<Hearsay>, replay: Replay,
+        &mut self, known: Vec<Member>, said: Vec<DestinationObservation>, replay: Replay,
     ) -> Result<(), StoreError> {
-        self.listed(ListForm::All, known);
-        said.into_iter().for_each(|hearsay| self.handle(Event::Told(hearsay)));
+        self.listed(ListUpdate::Full, known);
+        said.into_iter().for_each(|hearsay| self.handle(Event::PeerObserved(hearsay)));
         self.resend(replay.notices);
         for (number, bytes) in replay.entries {
             self.resume_entry(number, &bytes);
@@ -82,7 +82,7 @@
     /// Ends a message by what was heard of its last attempt. It is never sent again.
     pub(super) fn resume_heard(&mut self, mut stored: Stored, verdict: Verdict) {
         let terms = stored.terms.clone().or_else(|| self.current_terms(&stored.class));
-        let once = terms.is_none_or(|terms| terms.effect == Effect::Unsafe);
+        let once = terms.is_none_or(|terms| terms.effect == Effect::NonIdempotent);
         let mut trace = self.resumed_trace(&mut stored);
         if let Some(trace) = &mut trace {
             let attempt_outcome = if verdict == Verdict::Delivered { Outcome::Ok } else { Outcome::Skipped };
@@ -106,7 +106,7 @@
 
     fn current_terms(&self, class: &str) -> Option<Class> {
         let number = self.classes.current(class)?;
-        self.classes.terms(number).cloned()
+        self.classes.parameters(number).cloned()
     }
 
     /// The message's history. Where it was accepted before there was a record, as much of it as is known.
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,5 +1,5 @@
-//! What the rules know of messages, calls, destinations and endpoints, as plain records with their invariants. It
-//! decides nothing; the rules alone write here.
+//! State records of the decision rules: messages, calls, send paths, destinations and endpoints, with their
+//! invariants. Only the rules change them.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, VecDeque};
@@ -11,167 +11,228 @@
 use repeats::hand::Hand;
 use serde::{Deserialize, Serialize};
 
-use crate::estimate::AnswerTimes;
+use crate::estimate::ResponseTimes;
 use crate::interface::*;
 use crate::pacing::Pacer;
 
-/// An answer is overdue, and a call timed out, after the mean answer time and so many mean deviations.
-pub(crate) const DEVIATIONS: Micros = 5;
-/// A second in the clock's microseconds.
+/// A call is overdue, and times out, after the mean response time plus this many mean deviations.
+pub(crate) const OVERDUE_DEVIATIONS: Micros = 5;
+/// Microseconds per second.
 pub(crate) const SECOND: f64 = 1e6;
+/// A time that is never reached.
 pub(crate) const NEVER: Micros = Micros::MAX;
 
-/// A destination that failed or refused: an outage, or what may be one, until a success or warm after that.
+/// Failures or refusals of a destination: an outage, or what may become one. Removed by a success unless an
+/// outage was established; otherwise when the destination has warmed up after its return.
 #[derive(Clone, Default, Serialize, Deserialize)]
-pub(crate) struct Trouble {
-    pub(crate) first_begun: Micros,
+pub(crate) struct FailureState {
+    /// Start of the first call that failed.
+    #[serde(rename = "first_begun")]
+    pub(crate) first_start: Micros,
+    /// Failed or refused calls in a row.
     pub(crate) failures: u32,
-    /// Until then calls need no turn; then the next is this.
+    /// Until this time calls need no recovery slot; after it the next one has to wait for `next_slot`.
     pub(crate) early_until: Micros,
-    pub(crate) turn: Micros,
-    /// When it first answered after an outage; before that, trials of peers spare this sender's until `hold`.
-    pub(crate) back: Option<Micros>,
-    pub(crate) hold: Micros,
+    /// Recovery slot: earliest start of this sender's next call, by its share of what a returning destination
+    /// can serve.
+    #[serde(rename = "turn")]
+    pub(crate) next_slot: Micros,
+    /// Time of the first success after an outage; `None` while the outage lasts.
+    #[serde(rename = "back")]
+    pub(crate) returned_at: Option<Micros>,
+    /// While the outage lasts, trials of peers replace this sender's own until this time.
+    #[serde(rename = "hold")]
+    pub(crate) held_until: Micros,
 }
 
-/// What shares one limit, one wait and one outage: a destination, or a route where routes are apart.
-/// Invariant: nothing starts before `ready_at`.
+/// Pacing, server-requested wait and failure state shared by a destination, or by one of its routes where
+/// routes are separate. Invariant: nothing starts before `next_start`.
 #[derive(Clone, Default, Serialize, Deserialize)]
-pub(crate) struct Lane {
+pub(crate) struct SendPath {
     pub(crate) pacer: Pacer,
+    /// End of the wait that the destination requested.
     pub(crate) wait_until: Option<Micros>,
-    pub(crate) trouble: Option<Trouble>,
-    /// Start of the latest call that was answered well outside of a trouble.
-    pub(crate) good: Option<Micros>,
-    /// Calls a second that all senders together may make, as far as told.
+    #[serde(rename = "trouble")]
+    pub(crate) failure: Option<FailureState>,
+    /// Start of the latest successful call outside of a failure state.
+    #[serde(rename = "good")]
+    pub(crate) last_success: Option<Micros>,
+    /// Limit of all senders together, in calls per second, if known.
     pub(crate) rate: Option<f64>,
-    /// A report told the limit, and is fresher than the list.
-    pub(crate) reported: bool,
-    pub(crate) out: u32,
-    pub(crate) times: AnswerTimes,
-    /// What a steward permits, who paces all senders together; their own pace counts where none is heard.
-    pub(crate) held: Held,
-    /// What waits here, and how long all of it waits, as its steward said, until then.
+    /// The destination itself reported the rate, which is newer than the endpoint list.
+    #[serde(rename = "reported")]
+    pub(crate) rate_reported: bool,
+    /// Calls in flight.
+    #[serde(rename = "out")]
+    pub(crate) in_flight: u32,
+    #[serde(rename = "times")]
+    pub(crate) response_times: ResponseTimes,
+    /// Grants of the limit coordinator, which paces all senders together. The own pacer counts while none is
+    /// heard.
+    #[serde(rename = "held")]
+    pub(crate) grants: Held,
+    /// This sender's own queue for the path and how it moves.
     #[serde(default)]
     pub(crate) backlog: Backlog,
-    #[serde(default)]
-    pub(crate) waits: (Waits, Micros),
+    /// Waits of all senders' messages as the coordinator reported them, and the time until which the report
+    /// counts.
+    #[serde(default, rename = "waits")]
+    pub(crate) reported_waits: (Waits, Micros),
 }
 
-impl Lane {
-    /// The gap between this sender's calls at its part of the rate told, else as lately seen.
-    pub(crate) fn usual_gap(&self, senders: u32) -> Micros {
+impl SendPath {
+    /// Returns the interval between this sender's calls at its share of the known rate, or else the recent
+    /// mean.
+    pub(crate) fn expected_spacing(&self, senders: u32) -> Micros {
         let listed = self.rate.map(|rate| (f64::from(senders) * SECOND / rate) as Micros);
         listed.or(self.pacer.spacing).unwrap_or(NEVER)
     }
 
-    /// What a steward said lately of how long all that waits here waits.
-    pub(crate) fn said(&self, now: Micros) -> Option<&Waits> {
-        Some(&self.waits).filter(|(_, until)| now < *until).map(|(waits, _)| waits)
+    /// Returns the coordinator's report of waits, unless it is outdated.
+    pub(crate) fn coordinator_waits(&self, now: Micros) -> Option<&Waits> {
+        Some(&self.reported_waits).filter(|(_, until)| now < *until).map(|(waits, _)| waits)
     }
 
-    /// A call that took so long should have been answered.
-    pub(crate) fn overdue(&self, took: Micros) -> bool {
-        self.times.within(DEVIATIONS).is_some_and(|usual| took > usual)
+    /// Returns whether a call in flight for `elapsed` is slower than usual; `false` while no answer was
+    /// measured.
+    pub(crate) fn is_overdue(&self, elapsed: Micros) -> bool {
+        self.response_times.upper_bound(OVERDUE_DEVIATIONS).is_some_and(|usual| elapsed > usual)
     }
 }
 
-/// A destination. Invariant: `queue` holds its messages that are neither out nor ended, in release order.
+/// A destination. Invariant: `queue` holds its messages that are neither in flight nor ended, in release
+/// order.
 #[derive(Clone, Serialize, Deserialize)]
 pub(crate) struct Destination {
-    /// Index of its lane; where routes are apart, each endpoint has its own.
-    pub(crate) lane: usize,
-    pub(crate) apart: bool,
-    pub(crate) batch: u32,
+    /// Index of its send path; where routes are separate, each endpoint has its own.
+    #[serde(rename = "lane")]
+    pub(crate) path: usize,
+    #[serde(rename = "apart")]
+    pub(crate) separate_routes: bool,
+    #[serde(rename = "batch")]
+    pub(crate) max_batch: u32,
     pub(crate) endpoints: BTreeSet<TargetId>,
-    pub(crate) queue: BTreeSet<(Rank, MessageId)>,
-    /// Further attempts that the senders' budget lets start.
-    #[serde(default)]
-    pub(crate) repeats: Hand,
+    pub(crate) queue: BTreeSet<(ReleaseOrder, MessageId)>,
+    /// Tokens of the senders' shared retry budget that this sender holds.
+    #[serde(default, rename = "repeats")]
+    pub(crate) retry_tokens: Hand,
 }
 
-/// An endpoint. Invariant: once `stop` is set, nothing new goes there until the list names it in service.
+/// An endpoint. Invariant: while `out_of_service` is set, no new call goes there.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub(crate) struct Endpoint {
     pub(crate) destination: DestinationId,
     pub(crate) zone: usize,
     pub(crate) kind: usize,
-    pub(crate) lane: usize,
-    pub(crate) stop: bool,
-    pub(crate) out: u32,
+    /// Index of its send path.
+    #[serde(rename = "lane")]
+    pub(crate) path: usize,
+    /// Draining or removed; cleared when the endpoint list names it in service again.
+    #[serde(rename = "stop")]
+    pub(crate) out_of_service: bool,
+    /// Calls in flight.
+    #[serde(rename = "out")]
+    pub(crate) in_flight: u32,
+    /// Failures since the last success.
     pub(crate) failures: u32,
-    pub(crate) try_at: Micros,
-    /// Calls that its connections allow, as far as seen; one more is tried from `more_at` on.
-    pub(crate) most: Option<u32>,
-    pub(crate) more_at: Micros,
+    /// Earliest start of the next trial call of a failing endpoint.
+    #[serde(rename = "try_at")]
+    pub(crate) next_trial: Micros,
+    /// Number of calls that its connections were seen to allow; one more is tried from `raise_limit_at` on.
+    #[serde(rename = "most")]
+    pub(crate) connection_limit: Option<u32>,
+    #[serde(rename = "more_at")]
+    pub(crate) raise_limit_at: Micros,
+    /// Since when it has an idle connection.
     pub(crate) idle_since: Option<Micros>,
-    /// The call of this very moment, which others may join.
-    pub(crate) joining: Option<(Micros, u64, u32)>,
+    /// Start, id and size of the latest call; messages sent at the same time may join it.
+    #[serde(rename = "joining")]
+    pub(crate) latest_call: Option<(Micros, u64, u32)>,
 }
 
 impl Endpoint {
-    /// A connection is open and idle.
-    pub(crate) fn warm(&self, now: Micros, idle_for: Micros) -> bool {
-        self.idle_since.is_some_and(|since| now - since < idle_for)
+    /// Returns whether a connection is open and idle.
+    pub(crate) fn has_idle_connection(&self, now: Micros, idle_timeout: Micros) -> bool {
+        self.idle_since.is_some_and(|since| now - since < idle_timeout)
     }
 }
 
-/// The order of release: what is worth most, then what loses that worth first, then what came first.
-pub(crate) type Rank = (Reverse<u64>, Micros, u64);
+/// Release order: highest priority, then earliest loss of value, then first arrival.
+pub(crate) type ReleaseOrder = (Reverse<u64>, Micros, u64);
 
-/// A message taken and not ended. Invariant: it is in its destination's queue or out, never both.
+/// A message accepted and not ended. Invariant: it is either in its destination's queue or in flight.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub(crate) struct Message {
     pub(crate) class: usize,
-    /// What it is worth now, when that changes, and its number.
-    pub(crate) rank: Rank,
-    /// Started until then, it is in time.
-    pub(crate) in_time: Micros,
+    /// Its present value in thousandths, the time of the next decrease and the arrival number.
+    #[serde(rename = "rank")]
+    pub(crate) order: ReleaseOrder,
+    /// Latest start at which it earns its full value.
+    #[serde(rename = "in_time")]
+    pub(crate) full_value_until: Micros,
+    /// Time after which it may no longer be delivered.
     pub(crate) due: Micros,
     pub(crate) destination: DestinationId,
+    /// Ordering key.
     pub(crate) key: Option<Arc<str>>,
     pub(crate) attempts: u32,
-    /// A start found it taken on and untried.
-    #[serde(default)]
-    pub(crate) untried: bool,
-    pub(crate) out: Option<u64>,
-    /// Start and zone of the attempt that is out, once it was answered and the answer is still to settle.
-    #[serde(default)]
-    pub(crate) settling: Option<(Micros, usize)>,
+    /// Accepted by an earlier process that made no attempt.
+    #[serde(default, rename = "untried")]
+    pub(crate) resumed_untried: bool,
+    /// Id of the call that it is in flight with.
+    #[serde(rename = "out")]
+    pub(crate) call: Option<u64>,
+    /// Start and zone of the attempt in flight, once it was answered but the answer is not yet matched to it.
+    #[serde(default, rename = "settling")]
+    pub(crate) answered_attempt: Option<(Micros, usize)>,
     /// Start and zone of the earliest attempt that may have run.
-    pub(crate) risk: Option<(Micros, usize)>,
-    /// Withdrawn or served while out: only its outcome is awaited.
-    pub(crate) over: bool,
+    #[serde(rename = "risk")]
+    pub(crate) may_have_run: Option<(Micros, usize)>,
+    /// Withdrawn while in flight: only its outcome is awaited.
+    #[serde(rename = "over")]
+    pub(crate) ended_elsewhere: bool,
 }
 
 impl Message {
-    /// The tier of what it is worth now.
-    pub(crate) fn tier(&self) -> u16 {
-        permits::tier(self.rank.0.0)
+    /// Returns the priority that follows from its present value.
+    pub(crate) fn priority(&self) -> u16 {
+        permits::tier(self.order.0.0)
     }
 
-    /// Whether an estimate may end it before its time. What a start found untried is owed a try: what it is judged by
-    /// is hardly known yet then, and its client was told long ago that it is taken on.
-    pub(crate) fn may_be_judged(&self) -> bool {
-        !self.untried || self.attempts > 0
+    /// Returns whether an estimated wait may end it before its due time. A message resumed untried is owed
+    /// one attempt: right after a restart the estimates have hardly any data, and its client was told long
+    /// ago that it is accepted.
+    pub(crate) fn may_be_shed(&self) -> bool {
+        !self.resumed_untried || self.attempts > 0
     }
 }
 
-/// One call, shared by the messages that started together. Invariant: one slot until all have their outcome.
+/// A call, shared by the messages that started together. Invariant: it occupies one call slot until all have
+/// their outcome.
 #[derive(Clone, Serialize, Deserialize)]
 pub(crate) struct Call {
-    pub(crate) lane: usize,
-    pub(crate) begun: Micros,
-    pub(crate) left: u32,
+    /// Index of its send path.
+    #[serde(rename = "lane")]
+    pub(crate) path: usize,
+    #[serde(rename = "begun")]
+    pub(crate) started_at: Micros,
+    /// Messages that have no outcome yet.
+    #[serde(rename = "left")]
+    pub(crate) pending: u32,
     pub(crate) outcome: Option<Outcome>,
-    pub(crate) reused: bool,
-    /// Its messages with the number of the attempt, until it is called off.
+    /// Sent on an idle connection.
+    #[serde(rename = "reused")]
+    pub(crate) reused_connection: bool,
+    /// Its messages with the number of the attempt; emptied when the call is cancelled.
     pub(crate) members: Vec<(MessageId, u32)>,
 }
 
-/// Messages of one key in the order taken; nobody but the first may go, and not before `rest_until`.
+/// Messages of one ordering key in the order of acceptance. Only the first may be sent, and not before
+/// `paused_until`.
 #[derive(Clone, Default, Serialize, Deserialize)]
-pub(crate) struct KeyLine {
-    pub(crate) line: VecDeque<MessageId>,
-    pub(crate) rest_until: Micros,
+pub(crate) struct KeyQueue {
+    #[serde(rename = "line")]
+    pub(crate) messages: VecDeque<MessageId>,
+    #[serde(rename = "rest_until")]
+    pub(crate) paused_until: Micros,
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -93,7 +93,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct RawEntry {
     kind: String,
-    listed: Listed,
+    listed: ServiceState,
     cell: i64,
     zone: String,
     scale: f64,
@@ -105,9 +105,9 @@
     pub fn parse(fields: &mut Fields) -> Result<Self, WireError> {
         let kind = fields.text("Kind")?.to_string();
         let listed = match fields.text("Health")? {
-            "in_service" => Listed::InService,
-            "terminating" => Listed::Draining,
-            "terminated" => Listed::Gone,
+            "in_service" => ServiceState::InService,
+            "terminating" => ServiceState::Draining,
+            "terminated" => ServiceState::Removed,
             other => return Err(fields.bad("Health", other, "in_service, terminating or terminated")),
         };
         let cell = fields.number("Cell")?;
@@ -119,12 +119,14 @@
     }
 
     /// An entry that came in another form than an `ENTRY` line.
-    pub fn new(kind: String, listed: Listed, cell: i64, zone: String, scale: f64, target: String) -> Self {
+    pub fn new(
+        kind: String, listed: ServiceState, cell: i64, zone: String, scale: f64, target: String,
+    ) -> Self {
         RawEntry { kind, listed, cell, zone, scale, target }
     }
 
     /// Whether it takes new work.
-    pub fn listed(&self) -> Listed {
+    pub fn listed(&self) -> ServiceState {
         self.listed
     }
 
@@ -204,14 +206,14 @@
         let at = |name: &str| format!("Classes.{i}.{name}");
         names.classes.push(pairs.need(&at("Name"))?.to_string());
         let effect = match pairs.need(&at("Idempotency"))? {
-            "idempotent" => Effect::Safe,
-            "at_most_once" => Effect::Unsafe,
+            "idempotent" => Effect::Idempotent,
+            "at_most_once" => Effect::NonIdempotent,
             "deduplicated" => Effect::Keyed {
                 window: pairs.number(&at("DedupWindowUs"))?,
-                group: match pairs.get(&at("Group")).unwrap_or("all") {
-                    "all" => Group::All,
-                    "zone" => Group::Zone,
-                    "cell" => Group::Cell,
+                scope: match pairs.get(&at("Group")).unwrap_or("all") {
+                    "all" => DedupScope::All,
+                    "zone" => DedupScope::Zone,
+                    "cell" => DedupScope::Cell,
                     other => return Err(bad_setting(&at("Group"), other, "all, zone or cell")),
                 },
             },
@@ -221,10 +223,10 @@
             }
         };
         classes.push(Class {
-            worth: pairs.number(&at("Value"))?,
+            value: pairs.number(&at("Value"))?,
             aim: pairs.number(&at("AimUs"))?,
             deadline: pairs.number(&at("DeadlineUs"))?,
-            late_worth: pairs.maybe(&at("LateWorth"))?.unwrap_or(0.0),
+            late_fraction: pairs.maybe(&at("LateWorth"))?.unwrap_or(0.0),
             effect,
             in_order: pairs.maybe(&at("FifoByKey"))?.unwrap_or(false),
         });
@@ -238,8 +240,8 @@
     let batch: Vec<u32> = pairs.numbers("Domain.KindBatch")?;
     let kinds = (0..names.kinds.len())
         .map(|i| Kind {
-            apart: apart.get(i).copied().unwrap_or(false),
-            batch: batch.get(i).copied().unwrap_or(1),
+            separate_routes: apart.get(i).copied().unwrap_or(false),
+            max_batch: batch.get(i).copied().unwrap_or(1),
         })
         .collect();
     let asked = match pairs.get("Discovery").unwrap_or("push") {
@@ -251,10 +253,10 @@
         classes,
         kinds,
         tenants,
-        over_share_worth: pairs.maybe("OverShareWorth")?.unwrap_or(1.0),
-        late: match pairs.get("Domain.Late").unwrap_or("even") {
-            "even" => LateForm::Even,
-            "by_half" => LateForm::Halves,
+        over_quota_fraction: pairs.maybe("OverShareWorth")?.unwrap_or(1.0),
+        late_decay: match pairs.get("Domain.Late").unwrap_or("even") {
+            "even" => LateDecay::Linear,
+            "by_half" => LateDecay::Halving,
             other => return Err(bad_setting("Domain.Late", other, "even or by_half")),
         },
         slots: pairs.number("Domain.MaxCalls")?,
@@ -262,8 +264,8 @@
         max_attempts: pairs.number("Limits.MaxAttempts")?,
         senders: pairs.number("PeersTotal")?,
         connect_timeout: pairs.number("Limits.ConnectTimeoutUs")?,
-        connection_idle: pairs.number("Limits.ConnIdleUs")?,
-        longest_advice: if pairs.maybe("Limits.RetryAfter")?.unwrap_or(false) {
+        idle_timeout: pairs.number("Limits.ConnIdleUs")?,
+        max_retry_after: if pairs.maybe("Limits.RetryAfter")?.unwrap_or(false) {
             pairs.maybe("Limits.MaxRetryAfterUs")?
         } else {
             None
@@ -271,18 +273,18 @@
         probes: pairs.maybe("Limits.Probes")?.unwrap_or(false),
         cancel: pairs.maybe("Limits.Cancel")?.unwrap_or(false),
         listed_rates: matches!(pairs.get("Weights"), Some("nominal" | "rough")),
-        stewards: false,
-        repeats: false,
+        coordinators: false,
+        retry_budget: false,
         shares: false,
-        ask_every: if asked { Some(pairs.number("Rules.AskEveryUs")?) } else { None },
+        list_request_interval: if asked { Some(pairs.number("Rules.AskEveryUs")?) } else { None },
         zone_fee: pairs.numbers("Domain.FeeByZone")?,
-        rules: RuleFigures {
-            cold_from: pairs.number("Rules.ColdFrom")?,
-            cold: pairs.number("Rules.ColdUs")?,
-            fall_multiple: pairs.number("Rules.FallMultiple")?,
-            fall_window: pairs.number("Rules.OverloadForUs")?,
+        rules: RuleParameters {
+            cold_capacity_fraction: pairs.number("Rules.ColdFrom")?,
+            warm_up: pairs.number("Rules.ColdUs")?,
+            overload_multiple: pairs.number("Rules.FallMultiple")?,
+            overload_window: pairs.number("Rules.OverloadForUs")?,
             drain_grace: pairs.number("Rules.StopSendingWithinUs")?,
-            settle: pairs.maybe("Rules.SettleAfterDoubtUs")?.unwrap_or(0),
+            settle_time: pairs.maybe("Rules.SettleAfterDoubtUs")?.unwrap_or(0),
         },
     };
     Ok((settings, names))
@@ -302,11 +304,11 @@
     })
 }
 
-fn report(text: Option<&str>) -> Report {
-    let mut report = Report::default();
+fn report(text: Option<&str>) -> LimitReport {
+    let mut report = LimitReport::default();
     for (name, value) in text.unwrap_or_default().split(',').filter_map(|pair| pair.split_once(':')) {
         match name {
-            "x0" => report.left = value.parse().ok(),
+            "x0" => report.remaining_fraction = value.parse().ok(),
             "x1" => report.limit = value.parse().ok(),
             _ => {}
         }
@@ -379,7 +381,7 @@
     }
 
     /// The list as this instance understands it.
-    pub fn entries(&mut self, raw: &[RawEntry]) -> Result<Vec<Entry>, WireError> {
+    pub fn entries(&mut self, raw: &[RawEntry]) -> Result<Vec<EndpointEntry>, WireError> {
         raw.iter()
             .map(|entry| {
                 let kind = Self::index(&self.kinds, &entry.kind).ok_or_else(|| WireError::Field {
@@ -388,12 +390,12 @@
                     found: entry.kind.clone(),
                     expected: "a kind of the settings",
                 })?;
-                Ok(Entry {
+                Ok(EndpointEntry {
                     target: self.target(&entry.target),
                     destination: DestinationId(entry.cell),
                     kind,
                     zone: Self::index(&self.zones, &entry.zone).unwrap_or(usize::MAX),
-                    listed: entry.listed,
+                    state: entry.listed,
                     rate: entry.scale,
                 })
             })
@@ -441,7 +443,15 @@
                 }
                 self.settle(id);
                 let verdict = if over { Verdict::Over } else { outcome.verdict() };
-                Ok(Some(Event::Done(Done { id, attempt, target, outcome, took, verdict, report })))
+                Ok(Some(Event::AttemptEnded(AttemptResult {
+                    id,
+                    attempt,
+                    target,
+                    outcome,
+                    elapsed: took,
+                    decision: verdict,
+                    report,
+                })))
             }
             "HANGUP" => {
                 let name = fields.text("Rid")?;
@@ -450,7 +460,7 @@
                     state.1 = false;
                 }
                 self.settle(id);
-                Ok(Some(Event::Gone(id)))
+                Ok(Some(Event::Withdrawn(id)))
             }
             "ALARM" => Ok(Some(Event::Timer(fields.number("Handle")?))),
             "PROBE_RESULT" => {
@@ -460,7 +470,7 @@
                 let took = fields.maybe("TookUs")?.unwrap_or(0);
                 let report = report(fields.optional());
                 let target = self.targets.get(target).copied();
-                Ok(target.map(|target| Event::Probed { target, outcome, took, report }))
+                Ok(target.map(|target| Event::ProbeEnded { target, outcome, elapsed: took, report }))
             }
             "FIRST_BYTE" | "MESSAGE" => Ok(None),
             other => Err(WireError::UnknownLine(other.to_string())),
@@ -476,15 +486,17 @@
                 writeln!(out, "TRY {who} {} {} {timeout}", name(id), target(to))
             }
             Action::Cancel { id, attempt } => writeln!(out, "CANCEL {who} {} {attempt}", name(id)),
-            Action::Refuse { id, after: Some(after) } => writeln!(out, "SAY_NO {who} {} {after}", name(id)),
-            Action::Refuse { id, after: None } => writeln!(out, "SAY_NO {who} {} -", name(id)),
+            Action::Refuse { id, retry_after: Some(after) } => {
+                writeln!(out, "SAY_NO {who} {} {after}", name(id))
+            }
+            Action::Refuse { id, retry_after: None } => writeln!(out, "SAY_NO {who} {} -", name(id)),
             Action::Fail(id) => writeln!(out, "ERROR {who} {}", name(id)),
-            Action::Timer { token, after } => writeln!(out, "SLEEP {who} {token} {after}"),
-            Action::WantRepeats { .. } => Ok(()), // Nor a budget for repeats.
-            Action::Want { .. } => Ok(()), // The simulator's wire knows no stewards, and its settings ask none.
+            Action::SetTimer { token, after } => writeln!(out, "SLEEP {who} {token} {after}"),
+            Action::RequestRetryTokens { .. } => Ok(()), // Nor a budget for repeats.
+            Action::RequestGrants { .. } => Ok(()), // The simulator's wire knows no stewards, and its settings ask none.
             Action::Probe(to) => writeln!(out, "TOUCH {who} {}", target(to)),
-            Action::Close(to) => writeln!(out, "RELEASE {who} {}", target(to)),
-            Action::Watch => writeln!(out, "STREAM_CHANGES {who} 1"),
+            Action::CloseIdle(to) => writeln!(out, "RELEASE {who} {}", target(to)),
+            Action::SubscribeList => writeln!(out, "STREAM_CHANGES {who} 1"),
         };
         match action {
             Action::Send { id, .. } => {
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -157,7 +157,7 @@
     let alone = fleet("off", "parts").expect("a fleet");
     assert!(alone.facts.is_none() && alone.permits == Some(Sharing::Parts));
     let settings = read("off", "parts").expect("sound").settings;
-    assert!(settings.stewards && settings.shares);
+    assert!(settings.coordinators && settings.shares);
     assert!(!read("off", "on").expect("sound").settings.shares);
     assert!(fleet("off", "off").is_none());
     let error = read("on", "some").expect_err("a fault").to_string();
@@ -179,7 +179,7 @@
     };
     for (said, shared) in [(None, false), (Some("off"), false), (Some("shared"), true)] {
         let config = read(said).expect("sound");
-        assert_eq!((config.settings.repeats, config.fleet.expect("a fleet").repeats), (shared, shared));
+        assert_eq!((config.settings.retry_budget, config.fleet.expect("a fleet").repeats), (shared, shared));
     }
     let error = read(Some("on")).expect_err("a fault").to_string();
     assert!(error.starts_with("TULIPFALL_REPEATS") && error.contains("shared or off"), "{error}");
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -22,7 +22,7 @@
 use tulipfall::exchange::{Clock, Member};
 use tulipfall::fleet::{Before, DistributionSetup, Setup, start};
 use tulipfall::input::Input;
-use tulipfall::interface::{ListForm, Listed, RuleFigures};
+use tulipfall::interface::{ListUpdate, RuleParameters, ServiceState};
 use tulipfall::standing::Standing;
 use tulipfall::wire::RawEntry;
 
@@ -462,26 +462,30 @@
     waited.await.expect("both are in force");
     assert!(matches!(received.recv().await, Some(Input::Withdrawn(_))));
     let listed = tokio::time::timeout(FAR, received.recv()).await.expect("the changes, once there is room");
-    let Some(Input::Listed(ListForm::Changes, members)) = listed else { panic!("no list") };
-    let told: Vec<(&str, Listed)> =
+    let Some(Input::Listed(ListUpdate::Changes, members)) = listed else { panic!("no list") };
+    let told: Vec<(&str, ServiceState)> =
         members.iter().map(|member| (member.id.as_str(), member.entry.listed())).collect();
-    let expected =
-        [("1@old", Listed::Gone), ("1@127.0.0.1:9", Listed::InService), ("2@127.0.0.1:9", Listed::InService)];
+    let expected = [
+        ("1@old", ServiceState::Removed),
+        ("1@127.0.0.1:9", ServiceState::InService),
+        ("2@127.0.0.1:9", ServiceState::InService),
+    ];
     assert_eq!(told, expected);
     assert!(received.try_recv().is_err(), "once");
 }
 
-const RULES: RuleFigures = RuleFigures {
-    cold_from: 0.2,
-    cold: 10_000_000,
-    fall_multiple: 2.0,
-    fall_window: 2_000_000,
+const RULES: RuleParameters = RuleParameters {
+    cold_capacity_fraction: 0.2,
+    warm_up: 10_000_000,
+    overload_multiple: 2.0,
+    overload_window: 2_000_000,
     drain_grace: 2_000_000,
-    settle: 0,
+    settle_time: 0,
 };
 
 fn base_member() -> Member {
-    let entry = RawEntry::new("partner".into(), Listed::InService, 1, "here".into(), 4.0, "1@old".into());
+    let entry =
+        RawEntry::new("partner".into(), ServiceState::InService, 1, "here".into(), 4.0, "1@old".into());
     Member { entry, id: "1@old".into(), address: "127.0.0.1:8".into() }
 }
 
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -98,7 +98,7 @@
             target: TargetId(7),
             address,
             lane: LANE,
-            effect: Effect::Unsafe,
+            effect: Effect::NonIdempotent,
             start_by,
             deadline,
         }
@@ -291,7 +291,7 @@
     first.write_all(cut).await.expect("written");
     drop(first);
     let end = side.end().await;
-    assert_eq!((end.outcome, end.report.wait), (Outcome::Spoilt, Some(30 * S)));
+    assert_eq!((end.outcome, end.report.requested_wait), (Outcome::Spoilt, Some(30 * S)));
     let _second = side.outbound.call(side.call("second", &endpoint));
     assert_eq!(side.end().await.outcome, Outcome::Skipped);
 }
@@ -305,7 +305,11 @@
         request(&mut connection).await;
         connection.write_all(first_line.as_bytes()).await.expect("written");
         let (began, end) = (side.clock.now(), side.end().await);
-        assert_eq!((end.outcome, end.report.wait), (Outcome::Spoilt, None), "half a line tells no wait");
+        assert_eq!(
+            (end.outcome, end.report.requested_wait),
+            (Outcome::Spoilt, None),
+            "half a line tells no wait"
+        );
         let took = side.clock.now() - began;
         assert!(took >= 4 * S / 10, "a wait that comes in pieces is heard, not cut off after {took} us");
         assert!(took < 10 * S, "its deadline is 20 s away");
--- a/tests/link.rs
+++ b/tests/link.rs
@@ -14,16 +14,16 @@
 use tulipfall::exchange::{CallEnd, Clock};
 use tulipfall::fleet::{Before, FactsSetup, Setup, ToFleet, ended, start};
 use tulipfall::input::Input;
-use tulipfall::interface::{Outcome, Report, RuleFigures, TargetId, Word};
+use tulipfall::interface::{LimitReport, ObservedCondition, Outcome, RuleParameters, TargetId};
 use tulipfall::standing::Standing;
 
-const RULES: RuleFigures = RuleFigures {
-    cold_from: 0.16,
-    cold: 10_000_000,
-    fall_multiple: 2.0,
-    fall_window: 2_000_000,
+const RULES: RuleParameters = RuleParameters {
+    cold_capacity_fraction: 0.16,
+    warm_up: 10_000_000,
+    overload_multiple: 2.0,
+    overload_window: 2_000_000,
     drain_grace: 1_000_000,
-    settle: 0,
+    settle_time: 0,
 };
 /// Far beyond what any of this takes.
 const FAR: Duration = Duration::from_secs(20);
@@ -79,7 +79,7 @@
 }
 
 fn end_of_call(outcome: Outcome, began: i64) -> CallEnd {
-    let report = Report { left: None, limit: Some(40.0), wait: None };
+    let report = LimitReport { remaining_fraction: None, limit: Some(40.0), requested_wait: None };
     let (id, evidence) = ("m".into(), Evidence::default());
     CallEnd {
         id,
@@ -145,7 +145,7 @@
     while !(permitted && shut) {
         match tokio::time::timeout(FAR, second.inputs.recv()).await.expect("both come") {
             Some(Input::Permitted(given)) => permitted |= given.permits > 0,
-            Some(Input::Told(hearsay)) => shut |= matches!(hearsay.word, Word::Shut(_)),
+            Some(Input::Told(hearsay)) => shut |= matches!(hearsay.condition, ObservedCondition::Failing(_)),
             _ => {}
         }
     }
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -1,11 +1,11 @@
-//! The module's size, and settings that make no sense.
+//! Size limits of the decision module's source, and validation of settings.
 
-mod rig;
+mod harness;
 use tulipfall::interface::SettingsError;
 use tulipfall::rules::Relay;
 
 #[test]
-fn the_module_stays_small_and_narrow() {
+fn module_stays_within_its_size_limits() {
     let text = include_str!("../src/rules.rs");
     let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
     assert!(lines <= 980, "{lines} non-blank lines");
@@ -13,14 +13,14 @@
     assert!(widest <= 110, "a line of {widest} characters");
     assert!(
         text.lines().take(3).any(|line| line.contains("src/interface.rs")),
-        "the head names the interface"
+        "the file header names the interface file"
     );
 }
 
 #[test]
-fn settings_that_make_no_sense_are_named() {
+fn invalid_settings_are_reported_by_name() {
     let error = |change: fn(&mut tulipfall::interface::Settings)| {
-        let mut settings = rig::settings();
+        let mut settings = harness::settings();
         change(&mut settings);
         Relay::new(settings, 1).err().map(|e| e.to_string()).unwrap_or_default()
     };
@@ -29,6 +29,6 @@
     assert!(error(|s| s.slots = 0).contains("slots"));
     assert!(error(|s| s.max_held = 0).contains("max_held"));
     assert!(error(|s| s.classes[0].aim = s.classes[0].deadline + 1).contains("aim of class 0"));
-    assert!(error(|s| s.classes[1].worth = f64::NAN).contains("worth of class 1"));
-    assert!(error(|s| s.rules.cold_from = 0.0).contains("cold_from"));
+    assert!(error(|s| s.classes[1].value = f64::NAN).contains("worth of class 1"));
+    assert!(error(|s| s.rules.cold_capacity_fraction = 0.0).contains("cold_from"));
 }
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -39,8 +39,8 @@
 }
 
 fn terms() -> Class {
-    let effect = tulipfall::interface::Effect::Unsafe;
-    Class { worth: 3.0, aim: 2, deadline: 16, late_worth: 0.3, effect, in_order: false }
+    let effect = tulipfall::interface::Effect::NonIdempotent;
+    Class { value: 3.0, aim: 2, deadline: 16, late_fraction: 0.3, effect, in_order: false }
 }
 
 fn notice(id: &str, retry_in_ms: Option<u64>) -> Notice {
--- a/tests/trouble.rs
+++ b/tests/trouble.rs
@@ -1,33 +1,33 @@
-//! One test for each failure found: the symptom, and what must not happen again.
+//! Regression tests, one for each failure found.
 
-mod rig;
-use rig::*;
+mod harness;
+use harness::*;
 use tulipfall::interface::*;
 
-/// `count` calls to a destination are answered, each after 100 ms; ids from `first` on.
-fn served(rig: &mut Rig, destination: i64, first: u64, count: u64) {
+/// Sends `count` messages with ids from `first` on; each gets a success after 100 ms.
+fn serve(harness: &mut Harness, destination: i64, first: u64, count: u64) {
     for id in first..first + count {
-        assert_eq!(sent(&rig.arrive(id, SAFE, destination)), [id]);
-        rig.now += 100 * MS;
-        rig.done(id, destination as u32, Outcome::Ok);
+        assert_eq!(sent(&harness.arrive(id, IDEMPOTENT, destination)), [id]);
+        harness.now += 100 * MS;
+        harness.complete(id, destination as u32, Outcome::Ok);
     }
 }
 
 #[test]
-fn a_hanging_destination_does_not_take_every_slot() {
-    let mut rig = Rig::two();
-    served(&mut rig, 1, 1, 8);
+fn hanging_destination_does_not_use_up_the_slots() {
+    let mut harness = Harness::with_default_settings();
+    serve(&mut harness, 1, 1, 8);
     let mut started = 0;
     for id in 100..140 {
-        started += sent(&rig.arrive(id, UNSAFE, 1)).len();
-        rig.now += 100 * MS;
+        started += sent(&harness.arrive(id, NON_IDEMPOTENT, 1)).len();
+        harness.now += 100 * MS;
     }
-    assert!(started <= 6, "{started} calls hang");
-    assert_eq!(sent(&rig.arrive(200, SAFE, 2)), [200], "others go on");
+    assert!(started <= 6, "{started} hanging calls started");
+    assert_eq!(sent(&harness.arrive(200, IDEMPOTENT, 2)), [200], "other destinations are not affected");
 }
 
-/// The calls that were called off.
-fn off(actions: &[Action]) -> Vec<u64> {
+/// Returns the ids of the messages whose attempt was cancelled.
+fn cancelled(actions: &[Action]) -> Vec<u64> {
     let id = |action: &Action| match action {
         Action::Cancel { id, .. } => Some(id.0),
         _ => None,
@@ -36,181 +36,198 @@
 }
 
 #[test]
-fn overdue_calls_are_called_off_when_no_slot_is_free() {
-    let mut rig = Rig::new(Settings { slots: 2, ..settings() });
-    rig.list(ListForm::All, vec![entry(1, 1, 4.0), entry(2, 2, 4.0)]);
-    served(&mut rig, 1, 1, 8);
-    rig.arrive(10, SAFE, 1);
-    rig.arrive(11, UNSAFE, 1);
-    rig.now += S;
-    assert_eq!(off(&rig.arrive(12, SAFE, 2)), [0u64; 0], "its aim has not passed");
-    rig.now += 2 * S;
-    assert_eq!(off(&rig.arrive(13, SAFE, 2)), [10], "one at a time");
-    assert_eq!(sent(&rig.done(10, 1, Outcome::Cancelled)).len(), 1, "the slot goes on");
+fn overdue_calls_are_cancelled_if_no_slot_is_free() {
+    let mut harness = Harness::new(Settings { slots: 2, ..settings() });
+    harness.list(ListUpdate::Full, vec![entry(1, 1, 4.0), entry(2, 2, 4.0)]);
+    serve(&mut harness, 1, 1, 8);
+    harness.arrive(10, IDEMPOTENT, 1);
+    harness.arrive(11, NON_IDEMPOTENT, 1);
+    harness.now += S;
+    assert_eq!(cancelled(&harness.arrive(12, IDEMPOTENT, 2)), [0u64; 0], "its aim is not over");
+    harness.now += 2 * S;
+    assert_eq!(cancelled(&harness.arrive(13, IDEMPOTENT, 2)), [10], "one call at a time");
+    assert_eq!(sent(&harness.complete(10, 1, Outcome::Cancelled)).len(), 1, "the slot is used again");
 }
 
 #[test]
-fn a_silent_connection_of_a_destination_that_answers_gives_its_slot_up_within_its_aim() {
-    for class in [SAFE, UNSAFE] {
-        let mut rig = Rig::new(Settings { slots: 3, ..settings() });
-        rig.list(ListForm::All, vec![entry(1, 1, 40.0), entry(2, 2, 40.0)]);
-        served(&mut rig, 1, 1, 8);
-        rig.arrive(10, class, 1);
-        rig.now += 10 * MS;
-        // A later call is answered well, which none was where a whole destination is silent.
-        served(&mut rig, 1, 11, 1);
-        // The other slots are taken by calls that are not overdue, and more waits.
-        rig.now += S;
-        (20..22).for_each(|id| drop(rig.arrive(id, SAFE, 2)));
-        let waiting = rig.arrive(22, SAFE, 1);
-        assert_eq!((sent(&waiting), off(&waiting)), (vec![], vec![10]), "half of its aim has passed");
-        let next = rig.done(10, 1, Outcome::Cancelled);
-        assert!(!sent(&next).is_empty(), "the slot goes on: {next:?}");
+fn hanging_connection_of_a_working_destination_frees_its_slot_within_its_aim() {
+    for class in [IDEMPOTENT, NON_IDEMPOTENT] {
+        let mut harness = Harness::new(Settings { slots: 3, ..settings() });
+        harness.list(ListUpdate::Full, vec![entry(1, 1, 40.0), entry(2, 2, 40.0)]);
+        serve(&mut harness, 1, 1, 8);
+        harness.arrive(10, class, 1);
+        harness.now += 10 * MS;
+        // The success of a later call shows that the destination itself does not hang.
+        serve(&mut harness, 1, 11, 1);
+        // Calls that are not overdue use the other slots, and another message waits.
+        harness.now += S;
+        (20..22).for_each(|id| drop(harness.arrive(id, IDEMPOTENT, 2)));
+        let waiting = harness.arrive(22, IDEMPOTENT, 1);
+        assert_eq!((sent(&waiting), cancelled(&waiting)), (vec![], vec![10]), "half of its aim is over");
+        let next = harness.complete(10, 1, Outcome::Cancelled);
+        assert!(!sent(&next).is_empty(), "the slot is used again: {next:?}");
         let given_up = ended(&next).contains(&(10, false));
-        assert_eq!(given_up, class == UNSAFE, "what may not run twice is given up, the other goes again");
+        assert_eq!(
+            given_up,
+            class == NON_IDEMPOTENT,
+            "a non-idempotent message fails, an idempotent one is retried"
+        );
     }
 }
 
 #[test]
-fn a_limit_that_is_lowered_and_spent_is_not_taken_for_an_outage() {
-    // Refused as the limit is spent, and again later; then answered. With an outage the next calls would wait for
-    // turns of a cold destination, a second or more apart.
+fn exhausted_limit_is_not_treated_as_an_outage() {
+    // Two refusals with an exhausted limit, then a success. After an outage the next calls would wait for slots of a
+    // cold destination, a second or more apart.
     let next_after = |left: f64| {
-        let mut rig = Rig::two();
-        let report = Report { left: Some(left), limit: Some(4.0), wait: None };
-        served(&mut rig, 1, 1, 8);
+        let mut harness = Harness::with_default_settings();
+        let report = LimitReport { remaining_fraction: Some(left), limit: Some(4.0), requested_wait: None };
+        serve(&mut harness, 1, 1, 8);
         for id in [20, 21] {
-            rig.arrive(id, SAFE, 1);
-            let sent = rig.pass(3 * S);
+            harness.arrive(id, IDEMPOTENT, 1);
+            let sent = harness.advance(3 * S);
             let attempt = sent_at(&sent).len().saturating_sub(1) as u32;
-            rig.now += 10 * MS;
+            harness.now += 10 * MS;
             let outcome = Outcome::Full(None);
-            let done = Done {
+            let done = AttemptResult {
                 id: MessageId(id),
                 attempt,
                 target: TargetId(1),
                 outcome,
-                took: MS,
-                verdict: outcome.verdict(),
+                elapsed: MS,
+                decision: outcome.verdict(),
                 report,
             };
-            rig.event(Event::Done(done));
-            rig.pass(S);
-            rig.done(id, 1, Outcome::Ok);
+            harness.event(Event::AttemptEnded(done));
+            harness.advance(S);
+            harness.complete(id, 1, Outcome::Ok);
         }
-        rig.arrive(30, SAFE, 1);
-        let from = rig.now;
-        sent_at(&rig.pass(10 * S)).first().map_or(0, |(at, _)| at - from)
+        harness.arrive(30, IDEMPOTENT, 1);
+        let from = harness.now;
+        sent_at(&harness.advance(10 * S)).first().map_or(0, |(at, _)| at - from)
     };
     assert!(next_after(0.1) < next_after(0.9), "{} and {}", next_after(0.1), next_after(0.9));
 }
 
 #[test]
-fn a_message_that_comes_with_little_time_is_tried() {
-    let mut rig = Rig::two();
-    served(&mut rig, 1, 1, 3);
+fn message_with_little_time_left_is_tried() {
+    let mut harness = Harness::with_default_settings();
+    serve(&mut harness, 1, 1, 3);
     let short = Arrival {
         id: MessageId(10),
-        class: SAFE,
+        class: IDEMPOTENT,
         tenant: None,
         key: None,
-        due: rig.now + 101 * MS,
+        due: harness.now + 101 * MS,
         destination: DestinationId(1),
     };
-    assert_eq!(sent(&rig.event(Event::Arrival(short))), [10]);
+    assert_eq!(sent(&harness.event(Event::Arrival(short))), [10]);
 }
 
 #[test]
-fn a_time_out_that_the_deadline_cut_short_is_no_sign() {
-    let mut rig = Rig::two();
-    served(&mut rig, 1, 1, 8);
+fn time_out_shortened_by_the_deadline_is_no_failure_of_the_destination() {
+    let mut harness = Harness::with_default_settings();
+    serve(&mut harness, 1, 1, 8);
     for id in 10..16 {
-        rig.arrive(id, SAFE, 1);
-        rig.now += 100 * MS;
-        rig.event(Event::Done(Done {
+        harness.arrive(id, IDEMPOTENT, 1);
+        harness.now += 100 * MS;
+        harness.event(Event::AttemptEnded(AttemptResult {
             id: MessageId(id),
             attempt: 0,
             target: TargetId(1),
             outcome: Outcome::TimedOut,
-            took: 100 * MS,
-            verdict: Verdict::Over,
-            report: Report::default(),
+            elapsed: 100 * MS,
+            decision: Verdict::Over,
+            report: LimitReport::default(),
         }));
     }
-    assert_eq!(sent(&rig.arrive(20, SAFE, 1)), [20], "neither paced nor down");
+    assert_eq!(sent(&harness.arrive(20, IDEMPOTENT, 1)), [20], "no pacing and no outage");
 }
 
 #[test]
-fn clean_outcomes_find_room_that_a_rough_rate_hides() {
-    let mut rig = Rig::two();
-    rig.arrive(1, SAFE, 1);
-    rig.now += MS;
-    rig.done(1, 1, Outcome::Full(None));
+fn successes_shorten_the_interval_if_the_listed_rate_is_too_low() {
+    let mut harness = Harness::with_default_settings();
+    harness.arrive(1, IDEMPOTENT, 1);
+    harness.now += MS;
+    harness.complete(1, 1, Outcome::Full(None));
     for id in 2..80 {
-        rig.arrive(id, SAFE, 1);
+        harness.arrive(id, IDEMPOTENT, 1);
     }
     let mut times = vec![];
     for _ in 0..200 {
-        for (at, id) in sent_at(&rig.pass(20 * MS)) {
+        for (at, id) in sent_at(&harness.advance(20 * MS)) {
             times.push(at);
-            rig.done(id, 1, Outcome::Ok);
+            harness.complete(id, 1, Outcome::Ok);
         }
     }
     let gaps: Vec<Micros> = times.windows(2).map(|w| w[1] - w[0]).collect();
-    assert!(gaps.first().is_some_and(|gap| *gap >= 230 * MS), "the base comes first: {gaps:?}");
-    assert!(gaps.last().is_some_and(|gap| *gap <= 150 * MS), "then less: {gaps:?}");
-    assert!(gaps.iter().all(|gap| *gap >= 100 * MS), "never past all of a rate twice the listed: {gaps:?}");
+    assert!(gaps.first().is_some_and(|gap| *gap >= 230 * MS), "the base interval comes first: {gaps:?}");
+    assert!(gaps.last().is_some_and(|gap| *gap <= 150 * MS), "then it shortens: {gaps:?}");
+    assert!(gaps.iter().all(|gap| *gap >= 100 * MS), "never faster than twice the listed rate: {gaps:?}");
 }
 
 #[test]
-fn one_bad_endpoint_does_not_stop_its_destination() {
-    let mut rig = Rig::new(settings());
-    rig.list(ListForm::All, vec![entry(1, 1, 4.0), entry(2, 1, 4.0)]);
-    let (mut bad, mut good) = (0, vec![]);
-    // Calls overlap, so that the bad endpoint is always the one with fewer out.
+fn failing_endpoint_does_not_stop_its_destination() {
+    let mut harness = Harness::new(settings());
+    harness.list(ListUpdate::Full, vec![entry(1, 1, 4.0), entry(2, 1, 4.0)]);
+    let (mut failing_calls, mut working) = (0, vec![]);
+    // Calls overlap, so that the failing endpoint always has fewer calls in flight.
     for id in 1..=40 {
-        let mut sends = rig.arrive(id, SAFE, 1);
+        let mut sends = harness.arrive(id, IDEMPOTENT, 1);
         while let Some(action) = sends.pop() {
             match action {
                 Action::Send { id, target: TargetId(1), .. } => {
-                    bad += 1;
-                    sends.extend(rig.done(id.0, 1, Outcome::ConnectFailed));
+                    failing_calls += 1;
+                    sends.extend(harness.complete(id.0, 1, Outcome::ConnectFailed));
                 }
-                Action::Send { id, .. } => good.push(id.0),
+                Action::Send { id, .. } => working.push(id.0),
                 _ => {}
             }
         }
-        rig.now += 50 * MS;
-        if good.len() > 2 {
-            rig.done(good.remove(0), 2, Outcome::Ok);
+        harness.now += 50 * MS;
+        if working.len() > 2 {
+            harness.complete(working.remove(0), 2, Outcome::Ok);
         }
     }
-    assert!(bad <= 10, "{bad} calls went to the bad endpoint");
+    assert!(failing_calls <= 10, "{failing_calls} calls went to the failing endpoint");
 }
 
 #[test]
-fn the_longest_queue_makes_room_in_a_full_buffer() {
-    let mut rig = Rig::new(Settings { max_held: 20, ..settings() });
-    rig.list(ListForm::All, vec![entry(1, 1, 4.0), entry(2, 2, 4.0)]);
-    rig.arrive(1, SAFE, 1);
-    rig.now += MS;
-    rig.done(1, 1, Outcome::Full(Some(10 * S)));
+fn full_buffer_refuses_from_the_longest_queue() {
+    let mut harness = Harness::new(Settings { max_held: 20, ..settings() });
+    harness.list(ListUpdate::Full, vec![entry(1, 1, 4.0), entry(2, 2, 4.0)]);
+    harness.arrive(1, IDEMPOTENT, 1);
+    harness.now += MS;
+    harness.complete(1, 1, Outcome::Full(Some(10 * S)));
     let mut refused = vec![];
     for id in 2..=25 {
-        refused.extend(ended(&rig.arrive(id, if id == 3 { PRECIOUS } else { SAFE }, 1)));
+        refused.extend(ended(&harness.arrive(id, if id == 3 { HIGH_VALUE } else { IDEMPOTENT }, 1)));
     }
     assert!(!refused.is_empty());
-    assert!(refused.iter().all(|(id, refused)| *refused && *id > 15), "the last in line: {refused:?}");
-    assert_eq!(sent(&rig.arrive(100, SAFE, 2)), [100], "others are still taken");
+    assert!(
+        refused.iter().all(|(id, refused)| *refused && *id > 15),
+        "the last messages of the queue: {refused:?}"
+    );
+    assert_eq!(
+        sent(&harness.arrive(100, IDEMPOTENT, 2)),
+        [100],
+        "messages for other destinations are still accepted"
+    );
 }
 
 #[test]
-fn the_list_is_asked_for_where_it_must_be() {
-    let mut rig = Rig::new(Settings { ask_every: Some(10 * S), ..settings() });
-    assert!(rig.list(ListForm::All, vec![entry(1, 1, 4.0)]).contains(&Action::Watch));
-    assert!(!only(rig.pass(30 * S)).contains(&Action::Watch), "a subscription is asked for once");
-    rig.list(ListForm::Refused, vec![]);
-    assert!(only(rig.pass(10 * S)).contains(&Action::Watch), "and again after it broke");
+fn endpoint_list_is_subscribed_to_if_senders_have_to_request_it() {
+    let mut harness = Harness::new(Settings { list_request_interval: Some(10 * S), ..settings() });
+    assert!(harness.list(ListUpdate::Full, vec![entry(1, 1, 4.0)]).contains(&Action::SubscribeList));
+    assert!(
+        !without_times(harness.advance(30 * S)).contains(&Action::SubscribeList),
+        "one subscription is enough"
+    );
+    harness.list(ListUpdate::Failed, vec![]);
+    assert!(
+        without_times(harness.advance(10 * S)).contains(&Action::SubscribeList),
+        "a new one after a failure"
+    );
 }
 
 #[test]
@@ -221,49 +238,60 @@
         |s| s.max_attempts = 1,
         |s| s.listed_rates = false,
         |s| s.senders = 1000,
-        |s| (s.rules.settle, s.rules.fall_window, s.rules.cold, s.rules.drain_grace) = (0, 0, 0, 0),
+        |s| {
+            (s.rules.settle_time, s.rules.overload_window, s.rules.warm_up, s.rules.drain_grace) =
+                (0, 0, 0, 0)
+        },
     ];
     for (i, change) in extremes.iter().enumerate() {
         let mut given = settings();
         change(&mut given);
-        let mut rig = Rig::new(given);
-        rig.list(ListForm::All, vec![entry(1, 1, 4.0)]);
+        let mut harness = Harness::new(given);
+        harness.list(ListUpdate::Full, vec![entry(1, 1, 4.0)]);
         let (mut served, mut given_up) = (0, 0);
         for id in 1..=20 {
-            let mut all = rig.arrive(id, (id % 4) as usize, 1);
-            all.extend(only(rig.pass(500 * MS)));
+            let mut all = harness.arrive(id, (id % 4) as usize, 1);
+            all.extend(without_times(harness.advance(500 * MS)));
             given_up += ended(&all).len();
             for id in sent(&all) {
                 let outcome = if id % 5 == 0 { Outcome::Full(None) } else { Outcome::Ok };
                 served += usize::from(outcome == Outcome::Ok);
-                given_up += ended(&rig.done(id, 1, outcome)).len();
+                given_up += ended(&harness.complete(id, 1, outcome)).len();
             }
         }
-        given_up += ended(&only(rig.pass(60 * S))).len();
+        given_up += ended(&without_times(harness.advance(60 * S))).len();
         assert!(served >= 3, "case {i}: {served} served");
         assert!(served + given_up <= 20, "case {i}: {served} served and {given_up} given up");
     }
 }
 
-/// Two connections that fall silent, among calls that are answered, are no outage: the next ones need no turn.
+/// Two hanging connections among successful calls are no outage: the next calls need no slot.
 #[test]
-fn a_time_out_after_later_calls_were_answered_is_no_trouble_of_the_destination() {
-    let mut rig = Rig::two();
+fn time_out_after_later_successes_is_no_failure_of_the_destination() {
+    let mut harness = Harness::with_default_settings();
     for id in 1..=2 {
-        rig.arrive(id, SAFE, 1);
+        harness.arrive(id, IDEMPOTENT, 1);
     }
     for id in 3..=6 {
-        rig.now += S;
-        rig.arrive(id, SAFE, 1);
-        rig.now += 100 * MS;
-        rig.done(id, 1, Outcome::Ok);
+        harness.now += S;
+        harness.arrive(id, IDEMPOTENT, 1);
+        harness.now += 100 * MS;
+        harness.complete(id, 1, Outcome::Ok);
     }
     let done = |id: u64| {
         let (id, target, outcome) = (MessageId(id), TargetId(1), Outcome::TimedOut);
-        let report = Report::default();
-        Event::Done(Done { id, attempt: 0, target, outcome, took: 4 * S, verdict: outcome.verdict(), report })
+        let report = LimitReport::default();
+        Event::AttemptEnded(AttemptResult {
+            id,
+            attempt: 0,
+            target,
+            outcome,
+            elapsed: 4 * S,
+            decision: outcome.verdict(),
+            report,
+        })
     };
-    assert_eq!(sent(&rig.event(done(1))), [1]);
-    assert_eq!(sent(&rig.event(done(2))), [] as [u64; 0], "the endpoint is tried singly");
-    assert_eq!(sent(&rig.done(1, 1, Outcome::Ok)), [2], "with no turn and no pace");
+    assert_eq!(sent(&harness.event(done(1))), [1]);
+    assert_eq!(sent(&harness.event(done(2))), [] as [u64; 0], "the endpoint gets one trial call at a time");
+    assert_eq!(sent(&harness.complete(1, 1, Outcome::Ok)), [2], "without a slot and without pacing");
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -38,16 +38,19 @@
 #[test]
 fn settings_are_read_and_unknown_keys_passed_over() {
     let (settings, _) = instance();
-    assert_eq!(settings.classes[0].effect, Effect::Keyed { window: 5_000_000, group: Group::Zone });
-    assert_eq!(settings.classes[1].effect, Effect::Unsafe);
+    assert_eq!(settings.classes[0].effect, Effect::Keyed { window: 5_000_000, scope: DedupScope::Zone });
+    assert_eq!(settings.classes[1].effect, Effect::NonIdempotent);
     assert!(settings.classes[1].in_order && !settings.classes[0].in_order);
-    assert_eq!(settings.kinds, [Kind { apart: false, batch: 5 }, Kind { apart: true, batch: 1 }]);
-    assert_eq!(settings.late, LateForm::Halves);
+    assert_eq!(
+        settings.kinds,
+        [Kind { separate_routes: false, max_batch: 5 }, Kind { separate_routes: true, max_batch: 1 }]
+    );
+    assert_eq!(settings.late_decay, LateDecay::Halving);
     assert_eq!((settings.slots, settings.max_held, settings.senders), (11, 200, 2));
-    assert_eq!(settings.longest_advice, Some(3_000_000));
-    assert_eq!(settings.ask_every, Some(10_000_000));
+    assert_eq!(settings.max_retry_after, Some(3_000_000));
+    assert_eq!(settings.list_request_interval, Some(10_000_000));
     assert!(settings.listed_rates);
-    assert_eq!(settings.rules.settle, 0, "an optional key");
+    assert_eq!(settings.rules.settle_time, 0, "an optional key");
     assert_eq!(settings.tenants, [Tenant { quota: 2.5 }]);
 }
 
@@ -75,18 +78,18 @@
     assert_eq!(arrival.destination, DestinationId(57));
     let mut names = busy();
     let done = event(&mut names, "DONE 3 c:1 2 10.0.0.1:9 busy 18500 0 250 x0:0.5,x1:7.25,cpu:1");
-    let expected = Done {
+    let expected = AttemptResult {
         id: MessageId(1),
         attempt: 2,
         target: TargetId(0),
         outcome: Outcome::Full(Some(250_000)),
-        took: 18_500,
-        verdict: Verdict::Owed { may_have_run: false },
-        report: Report { left: Some(0.5), limit: Some(7.25), wait: None },
+        elapsed: 18_500,
+        decision: Verdict::Owed { may_have_run: false },
+        report: LimitReport { remaining_fraction: Some(0.5), limit: Some(7.25), requested_wait: None },
     };
-    assert_eq!(done, Some(Event::Done(expected)));
+    assert_eq!(done, Some(Event::AttemptEnded(expected)));
     assert_eq!(event(&mut names, "ALARM 3 77"), Some(Event::Timer(77)));
-    assert_eq!(event(&mut names, "HANGUP 3 c:1"), Some(Event::Gone(MessageId(1))));
+    assert_eq!(event(&mut names, "HANGUP 3 c:1"), Some(Event::Withdrawn(MessageId(1))));
     assert_eq!(event(&mut names, "HANGUP 3 c:1"), None, "no longer held");
     assert_eq!(event(&mut names, "DONE 3 c:9 0 10.0.0.1:9 done 5 1 - -"), None, "never held");
 }
@@ -112,12 +115,12 @@
     let mut out = String::new();
     let id = MessageId(1);
     let actions = [
-        Action::Send { id, target: TargetId(0), timeout: 80_000, by: 90_000 },
+        Action::Send { id, target: TargetId(0), timeout: 80_000, send_by: 90_000 },
         Action::Cancel { id, attempt: 0 },
-        Action::Timer { token: 77, after: 500_000 },
+        Action::SetTimer { token: 77, after: 500_000 },
         Action::Probe(TargetId(0)),
-        Action::Watch,
-        Action::Refuse { id, after: Some(9) },
+        Action::SubscribeList,
+        Action::Refuse { id, retry_after: Some(9) },
     ];
     for action in &actions {
         names.action(3, action, &mut out);
