--- a/tests/outage.rs
+++ b/tests/outage.rs
@@ -1,4 +1,4 @@
-//! The runtime while its store fails: what it promises, starts and ends meanwhile, and how it goes on.
+//! The runtime while its store is unavailable: which messages it accepts, sends and ends, and how it recovers.
 
 mod stand;
 
@@ -20,20 +20,20 @@
 use tulipfall::runtime::{Caller, Runtime};
 use tulipfall::store::{Folder, Journal, Replay, Storage};
 
-/// Nothing takes so long.
-const SOON: Duration = Duration::from_secs(10);
+/// Time limit of every step of a test.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A folder whose writes fail while a switch says so.
+/// A folder whose writes fail with `ENOSPC` while a flag is set.
 #[derive(Debug)]
-struct Switched(Folder, Arc<AtomicBool>);
+struct FailingStorage(Folder, Arc<AtomicBool>);
 
-impl Switched {
-    fn works(&self) -> Result<()> {
+impl FailingStorage {
+    fn check_flag(&self) -> Result<()> {
         if self.1.load(Ordering::SeqCst) { Err(Errno::ENOSPC.into()) } else { Ok(()) }
     }
 }
 
-impl Storage for Switched {
+impl Storage for FailingStorage {
     fn name(&self, number: u64) -> String {
         self.0.name(number)
     }
@@ -47,21 +47,21 @@
     }
 
     fn create(&mut self, number: u64) -> Result<()> {
-        self.works()?;
+        self.check_flag()?;
         self.0.create(number)
     }
 
     fn append(&mut self, bytes: &[u8]) -> Result<()> {
-        if self.works().is_err() {
-            // A part of it is written.
+        if self.check_flag().is_err() {
+            // A torn write.
             self.0.append(&bytes[..bytes.len() / 2])?;
-            return self.works();
+            return self.check_flag();
         }
         self.0.append(bytes)
     }
 
     fn truncate(&mut self, length: u64) -> Result<()> {
-        self.works()?;
+        self.check_flag()?;
         self.0.truncate(length)
     }
 
@@ -70,18 +70,18 @@
     }
 }
 
-/// Keeps the calls that were started, and their handles.
+/// A caller that records the started calls and keeps their handles.
 #[derive(Clone)]
-struct Started {
+struct RecordingCaller {
     calls: mpsc::UnboundedSender<OutboundCall>,
     handles: Arc<Mutex<Vec<oneshot::Receiver<()>>>>,
     clearance: Clearance,
 }
 
-impl Caller for Started {
+impl Caller for RecordingCaller {
     fn call(&self, call: OutboundCall) -> oneshot::Sender<()> {
-        let (handle, called_off) = oneshot::channel();
-        self.handles.lock().expect("no panic").push(called_off);
+        let (handle, cancelled) = oneshot::channel();
+        self.handles.lock().expect("no panic").push(cancelled);
         let _ = self.calls.send(call);
         handle
     }
@@ -97,8 +97,8 @@
     }
 }
 
-/// A runtime with one destination.
-struct Side {
+/// A runtime with one destination, whose store can be made to fail.
+struct TestRuntime {
     clock: Clock,
     state: PathBuf,
     config: Config,
@@ -108,7 +108,7 @@
     notices: mpsc::UnboundedReceiver<Notice>,
 }
 
-impl Side {
+impl TestRuntime {
     fn start(name: &str) -> Self {
         let folder = stand::folder(name);
         let (file, state) = (folder.join("config.json"), folder.join("state"));
@@ -121,11 +121,12 @@
         };
         let config = Config::load(variable).expect("a configuration");
         let (clock, fails) = (Clock::start(), Arc::new(AtomicBool::new(false)));
-        let storage = Switched(Folder::open(&state).expect("a folder"), fails.clone());
+        let storage = FailingStorage(Folder::open(&state).expect("a folder"), fails.clone());
         let (journal, replay) =
             Journal::replay_from(Box::new(storage), config.journal_room()).expect("a journal");
         let ((notice, notices), (started, calls)) = (mpsc::unbounded_channel(), mpsc::unbounded_channel());
-        let caller = Started { calls: started, handles: Arc::default(), clearance: Clearance::new(clock) };
+        let caller =
+            RecordingCaller { calls: started, handles: Arc::default(), clearance: Clearance::new(clock) };
         let relay = (Relay::new(config.settings.clone(), 1).expect("sound"), config.settings.clone());
         let names = config.names.clone();
         let mut runtime = Runtime::new(clock, relay, names, (99, 1 << 20), journal, Box::new(caller), notice);
@@ -133,14 +134,15 @@
         runtime.resume(known, vec![], replay).expect("stored");
         let (inputs, received) = mpsc::channel(64);
         tokio::task::spawn_local(runtime.run(received));
-        Side { clock, state, config, fails, inputs, calls, notices }
+        TestRuntime { clock, state, config, fails, inputs, calls, notices }
     }
 
-    fn fails(&self, fails: bool) {
+    fn set_store_failure(&self, fails: bool) {
         self.fails.store(fails, Ordering::SeqCst);
     }
 
-    async fn hand_in(&self, id: &str, class: &str, left: Micros) -> Answer {
+    /// Submits a message with `left` microseconds until it is due, and returns the answer.
+    async fn submit(&self, id: &str, class: &str, left: Micros) -> Answer {
         let exchange = Exchange {
             id: id.into(),
             class: class.into(),
@@ -152,9 +154,10 @@
         };
         let (reply, answer) = oneshot::channel();
         self.inputs.send(Input::Handed(Arc::new(exchange), None, reply)).await.expect("it runs");
-        soon(answer).await.expect("an answer")
+        within_timeout(answer).await.expect("an answer")
     }
 
+    /// Ends a call with an outcome.
     async fn end(&self, call: &OutboundCall, outcome: Outcome) {
         let end = CallEnd {
             id: call.exchange.id.clone(),
@@ -164,87 +167,91 @@
             verdict: outcome.verdict(),
             began: self.clock.now(),
             answered: None,
-            report: Report::default(),
+            report: LimitReport::default(),
             evidence: Evidence::default(),
         };
         self.inputs.send(Input::Ended(end)).await.expect("it runs");
     }
 
+    /// Returns the next call that starts.
     async fn call(&mut self) -> OutboundCall {
-        soon(self.calls.recv()).await.expect("a call")
+        within_timeout(self.calls.recv()).await.expect("a call")
     }
 
-    /// What a process after a kill at this moment finds.
-    fn after_kill(&self) -> Replay {
+    /// Returns what a process that starts after a kill at this moment reads from the journal.
+    fn replay_after_kill(&self) -> Replay {
         Journal::open(&self.state, self.config.journal_room()).expect("opens").1
     }
 }
 
-async fn soon<T>(what: impl Future<Output = T>) -> T {
-    tokio::time::timeout(SOON, what).await.expect("soon")
+async fn within_timeout<T>(future: impl Future<Output = T>) -> T {
+    tokio::time::timeout(TIMEOUT, future).await.expect("a result within the time limit")
 }
 
 #[tokio::test(flavor = "local")]
-async fn a_message_that_cannot_be_stored_is_refused_and_leaves_nothing() {
-    let mut side = Side::start("outage-refused");
-    side.fails(true);
+async fn message_that_cannot_be_stored_is_refused_and_leaves_no_state() {
+    let mut fixture = TestRuntime::start("outage-refused");
+    fixture.set_store_failure(true);
     for id in ["first", "second"] {
-        let Answer::Refused(_, Some(after)) = side.hand_in(id, "paid-extra", 3_000_000).await else {
-            panic!("{id} is promised")
+        let Answer::Refused(_, Some(after)) = fixture.submit(id, "paid-extra", 3_000_000).await else {
+            panic!("{id} is accepted")
         };
         assert!(after > 0 && after <= 250_000, "{after}");
     }
-    assert_eq!(side.after_kill(), Replay::default());
-    side.fails(false);
-    // The advice holds.
+    assert_eq!(fixture.replay_after_kill(), Replay::default());
+    fixture.set_store_failure(false);
+    // After the advised delay a message is accepted.
     tokio::time::sleep(Duration::from_millis(300)).await;
-    assert_eq!(side.hand_in("third", "paid-extra", 3_000_000).await, Answer::Taken);
-    assert_eq!(side.call().await.exchange.id, "third", "nothing of the others is sent");
-    assert!(side.calls.try_recv().is_err());
+    assert_eq!(fixture.submit("third", "paid-extra", 3_000_000).await, Answer::Taken);
+    assert_eq!(fixture.call().await.exchange.id, "third", "the refused messages are not sent");
+    assert!(fixture.calls.try_recv().is_err());
 }
 
 #[tokio::test(flavor = "local")]
 async fn a_retry_waits_until_its_start_is_stored() {
-    let mut side = Side::start("outage-retry");
-    assert_eq!(side.hand_in("held", "paid-extra", 8_000_000).await, Answer::Taken);
-    let first = side.call().await;
-    side.fails(true);
-    side.end(&first, Outcome::ConnectFailed).await;
+    let mut fixture = TestRuntime::start("outage-retry");
+    assert_eq!(fixture.submit("held", "paid-extra", 8_000_000).await, Answer::Taken);
+    let first = fixture.call().await;
+    fixture.set_store_failure(true);
+    fixture.end(&first, Outcome::ConnectFailed).await;
     tokio::time::sleep(Duration::from_millis(700)).await;
-    assert!(side.calls.try_recv().is_err(), "its start is not stored");
-    assert!(side.after_kill().messages[0].may_have_run, "the first call is all that the store knows of");
-    side.fails(false);
-    let second = side.call().await;
+    assert!(fixture.calls.try_recv().is_err(), "the start of the retry is not stored");
+    assert!(
+        fixture.replay_after_kill().messages[0].may_have_run,
+        "the store holds the start of the first call only"
+    );
+    fixture.set_store_failure(false);
+    let second = fixture.call().await;
     assert_eq!((second.exchange.id.as_str(), second.attempt > first.attempt), ("held", true));
-    side.end(&second, Outcome::Ok).await;
+    fixture.end(&second, Outcome::Ok).await;
 }
 
 #[tokio::test(flavor = "local")]
-async fn a_message_whose_time_is_up_is_reported_while_the_store_fails() {
-    let mut side = Side::start("outage-due");
-    assert_eq!(side.hand_in("held", "status-update", 900_000).await, Answer::Taken);
-    let first = side.call().await;
+async fn overdue_message_is_reported_while_the_store_is_unavailable() {
+    let mut fixture = TestRuntime::start("outage-due");
+    assert_eq!(fixture.submit("held", "status-update", 900_000).await, Answer::Taken);
+    let first = fixture.call().await;
     let due = first.exchange.due;
-    side.fails(true);
-    side.end(&first, Outcome::ConnectFailed).await;
-    let notice = soon(side.notices.recv()).await.expect("a report");
-    let now = side.clock.now();
+    fixture.set_store_failure(true);
+    fixture.end(&first, Outcome::ConnectFailed).await;
+    let notice = within_timeout(fixture.notices.recv()).await.expect("a report");
+    let now = fixture.clock.now();
     assert_eq!(notice.id, "held");
-    assert!(now >= due && now < due + 300_000, "{} us after its time", now - due);
-    assert!(side.calls.try_recv().is_err(), "no call went meanwhile");
-    // A restart reports it again, as its time is up, and never delivers it.
-    assert!(side.after_kill().messages.iter().all(|held| held.due <= now));
-    side.fails(false);
+    assert!(now >= due && now < due + 300_000, "{} us after its due time", now - due);
+    assert!(fixture.calls.try_recv().is_err(), "no call was started meanwhile");
+    // After a restart it is overdue, so it is reported again and not delivered.
+    assert!(fixture.replay_after_kill().messages.iter().all(|held| held.due <= now));
+    fixture.set_store_failure(false);
 }
 
 #[tokio::test(flavor = "local")]
-async fn what_ended_before_is_answered_as_before_while_the_store_fails() {
-    let mut side = Side::start("outage-before");
-    assert_eq!(side.hand_in("done", "paid-extra", 3_000_000).await, Answer::Taken);
-    let call = side.call().await;
-    side.end(&call, Outcome::Ok).await;
-    assert_eq!(side.hand_in("done", "paid-extra", 3_000_000).await, Answer::TakenBefore);
-    side.fails(true);
-    assert!(matches!(side.hand_in("new", "paid-extra", 3_000_000).await, Answer::Refused(..)));
-    assert_eq!(side.hand_in("done", "paid-extra", 3_000_000).await, Answer::TakenBefore);
+async fn message_that_has_ended_gets_the_same_answer_while_the_store_is_unavailable() {
+    let mut fixture = TestRuntime::start("outage-before");
+    assert_eq!(fixture.submit("done", "paid-extra", 3_000_000).await, Answer::Taken);
+    let call = fixture.call().await;
+    fixture.end(&call, Outcome::Ok).await;
+    assert_eq!(fixture.submit("done", "paid-extra", 3_000_000).await, Answer::TakenBefore);
+    fixture.set_store_failure(true);
+    assert!(matches!(fixture.submit("new", "paid-extra", 3_000_000).await, Answer::Refused(..)));
+    assert_eq!(fixture.submit("done", "paid-extra", 3_000_000).await, Answer::TakenBefore);
 }
