--- a/src/runtime/actions.rs
+++ b/src/runtime/actions.rs
@@ -4,7 +4,7 @@
 use tracing::debug;
 
 use crate::exchange::OutboundCall;
-use crate::fleet::ToFleet;
+use crate::fleet::FleetUpdate;
 use crate::interface::*;
 use crate::store::{Begun, Record};
 
@@ -35,10 +35,10 @@
             Action::SetTimer { token, after } => drop(self.timers.insert((now + after, token))),
             Action::CloseIdle(target) => self.effects.push(Effect::Close(target)),
             Action::RequestGrants { destination, waiting } => {
-                self.tell_fleet(ToFleet::Want(destination.0, waiting))
+                self.tell_fleet(FleetUpdate::RequestGrants(destination.0, waiting))
             }
             Action::RequestRetryTokens { destination, waiting } => {
-                self.tell_fleet(ToFleet::WantRepeats(destination.0, waiting));
+                self.tell_fleet(FleetUpdate::RequestRetryTokens(destination.0, waiting));
             }
             // The platform's settings permit no probes, and the list is always watched.
             Action::Probe(_) | Action::SubscribeList => {}
@@ -65,7 +65,7 @@
         });
         // A first attempt earns the fleet's retry budget its share.
         if attempt == 0 && self.settings.retry_budget {
-            self.tell_fleet(ToFleet::First(exchange.destination));
+            self.tell_fleet(FleetUpdate::FirstAttempt(exchange.destination));
         }
         // The feature records an attempt only after the fact, so that the proofs show that they detect it.
         if !cfg!(feature = "broken-order") {
