--- a/src/fleet/updates.rs
+++ b/src/fleet/updates.rs
@@ -1,7 +1,7 @@
 //! Updates from the runtime to the fleet's task, and the conversion of observations to reports for the rules.
 
-use peers::fact::{Fact, Known};
-use peers::witness::{Seen, Sign as SeenSign};
+use peers::observation::{Observation, Observed};
+use peers::observer::{CallSignal, ObservedCall};
 use permits::Tiers;
 use permits::note::Sign;
 use permits::steward::Report;
@@ -26,7 +26,7 @@
         /// The report to the limit coordinator, if any.
         report: Option<Report>,
         /// The outcome, for the observer of the destination's health.
-        seen: Seen,
+        seen: ObservedCall,
     },
 }
 
@@ -36,33 +36,36 @@
     limit_report: &crate::interface::LimitReport,
 ) -> FleetUpdate {
     let (observed, sign, wait) = match outcome {
-        Outcome::Ok => (SeenSign::Well, Some(Sign::Well), None),
-        Outcome::Full(wait) => (SeenSign::Refused(wait), Some(Sign::Refused), wait),
-        Outcome::Crowded => (SeenSign::Nothing, Some(Sign::Crowded), None),
+        Outcome::Ok => (CallSignal::Success, Some(Sign::Well), None),
+        Outcome::Full(wait) => (CallSignal::Refused(wait), Some(Sign::Refused), wait),
+        Outcome::Crowded => (CallSignal::Inconclusive, Some(Sign::Crowded), None),
         Outcome::Error | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => {
-            (SeenSign::Failed, Some(Sign::Failed), None)
+            (CallSignal::Failure, Some(Sign::Failed), None)
         }
-        Outcome::Spoilt | Outcome::Cancelled | Outcome::Skipped => (SeenSign::Nothing, None, None),
+        Outcome::Spoilt | Outcome::Cancelled | Outcome::Skipped => (CallSignal::Inconclusive, None, None),
     };
     let (limit, left) = (limit_report.limit, limit_report.remaining_fraction);
     let report = sign.map(|sign| Report { sign, began, wait, limit, left });
     FleetUpdate::CallEnded {
         destination,
         report,
-        seen: Seen { destination, began, ended, sign: observed, limit },
+        seen: ObservedCall { destination, began, ended, signal: observed, limit },
     }
 }
 
 /// An observation as a report to the rules. A server-requested wait binds only the relay that received it, a pace and
 /// connections are each relay's own, and a limit arrives with the first answer anyway, while a wrong one would throttle a
 /// partner: these observations are only shown to operators and give `None`.
-pub(super) fn report_of(fact: &Fact) -> Option<DestinationObservation> {
-    let word = match fact.known {
-        Known::Trouble { since, back: None, .. } => ObservedCondition::Failing(since),
-        Known::Trouble { back, .. } => ObservedCondition::Answering(back),
-        Known::Good { .. } => ObservedCondition::Answering(None),
-        Known::Answer { mean, .. } => ObservedCondition::ResponseTime(mean),
-        Known::Wait { .. } | Known::Pace { .. } | Known::Limit { .. } | Known::Connections { .. } => {
+pub(super) fn report_of(fact: &Observation) -> Option<DestinationObservation> {
+    let word = match fact.observed {
+        Observed::Failing { since, recovering_since: None, .. } => ObservedCondition::Failing(since),
+        Observed::Failing { recovering_since, .. } => ObservedCondition::Answering(recovering_since),
+        Observed::Healthy { .. } => ObservedCondition::Answering(None),
+        Observed::AnswerTime { mean, .. } => ObservedCondition::ResponseTime(mean),
+        Observed::Wait { .. }
+        | Observed::Pace { .. }
+        | Observed::Limit { .. }
+        | Observed::Connections { .. } => {
             return None;
         }
     };
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -13,7 +13,7 @@
 
 use overload::waits::Waits;
 use permits::held::Gate;
-use repeats::hand::Hand;
+use repeats::tokens::RetryTokens;
 use serde::{Deserialize, Serialize};
 
 use crate::estimate::SMOOTHING_DIVISOR;
@@ -152,7 +152,7 @@
     /// destination from the sum of all senders' retries.
     /// Known limitation: retries are also limited if only one endpoint fails.
     fn may_retry(&self, now: Micros, message: &Message, settings: &Settings) -> bool {
-        message.attempts == 0 || !settings.retry_budget || self.retry_tokens.count(now) > 0
+        message.attempts == 0 || !settings.retry_budget || self.retry_tokens.available(now) > 0
     }
 }
 
@@ -261,7 +261,7 @@
             }
             Event::RetryTokens { destination, tokens, waits } => {
                 let destination = self.destinations.get_mut(&destination);
-                destination.into_iter().for_each(|d| d.retry_tokens.given(now, tokens, waits.clone()));
+                destination.into_iter().for_each(|d| d.retry_tokens.update(now, tokens, waits.clone()));
             }
             Event::Timer(token) if token == self.timer_token => self.timer_at = None,
             Event::Timer(_) | Event::ProbeEnded { .. } => {}
@@ -328,9 +328,9 @@
         for (id, destination) in &mut self.destinations {
             let is_retry = |id: &MessageId| self.messages.get(id).is_some_and(|m| m.attempts > 0);
             let retries = destination.queue.iter().filter(|(_, id)| is_retry(id));
-            let beyond = retries.skip(destination.retry_tokens.count(now));
+            let beyond = retries.skip(destination.retry_tokens.available(now));
             let waiting = permits::tiers(beyond.map(|(order, _)| order.0.0));
-            if destination.retry_tokens.want(&waiting) {
+            if destination.retry_tokens.request(&waiting) {
                 actions.push(Action::RequestRetryTokens { destination: *id, waiting });
             }
         }
@@ -424,7 +424,7 @@
         self.destinations.entry(id).or_insert_with(|| {
             let (endpoints, queue) = (BTreeSet::new(), BTreeSet::new());
             paths.push(SendPath::default());
-            let (path, retry_tokens) = (paths.len() - 1, Hand::default());
+            let (path, retry_tokens) = (paths.len() - 1, RetryTokens::default());
             Destination { path, separate_routes: false, max_batch: 1, endpoints, queue, retry_tokens }
         })
     }
@@ -962,7 +962,7 @@
             }
         };
         if message.attempts > 0 {
-            self.destinations.entry(message.destination).and_modify(|d| d.retry_tokens.take());
+            self.destinations.entry(message.destination).and_modify(|d| d.retry_tokens.use_one());
         }
         message.call = Some(call_id);
         message.attempts += 1;
--- a/src/runtime/actions.rs
+++ b/src/runtime/actions.rs
@@ -29,16 +29,16 @@
     fn carry_out_one(&mut self, now: Micros, action: Action) {
         match action {
             Action::Send { id, target, timeout, send_by } => self.send(id, target, (send_by, now + timeout)),
-            Action::Cancel { id, attempt } => self.effects.push(Effect::CallOff(id, attempt)),
+            Action::Cancel { id, attempt } => self.effects.push(Effect::Cancel(id, attempt)),
             Action::Refuse { id, retry_after } => self.give_up(id, true, retry_after),
             Action::Fail(id) => self.give_up(id, false, None),
             Action::SetTimer { token, after } => drop(self.timers.insert((now + after, token))),
             Action::CloseIdle(target) => self.effects.push(Effect::Close(target)),
             Action::RequestGrants { destination, waiting } => {
-                self.tell_fleet(FleetUpdate::RequestGrants(destination.0, waiting))
+                self.notify_fleet(FleetUpdate::RequestGrants(destination.0, waiting))
             }
             Action::RequestRetryTokens { destination, waiting } => {
-                self.tell_fleet(FleetUpdate::RequestRetryTokens(destination.0, waiting));
+                self.notify_fleet(FleetUpdate::RequestRetryTokens(destination.0, waiting));
             }
             // The platform's settings permit no probes, and the list is always watched.
             Action::Probe(_) | Action::SubscribeList => {}
@@ -57,17 +57,17 @@
         let attempt = held.attempts;
         let exchange = held.exchange.clone();
         held.attempts += 1;
-        held.out = Some((target, self.clock.now()));
+        held.in_flight = Some((target, self.clock.now()));
         let begun = held.trace.as_mut().map(|trace| {
             let (at, endpoint) = (self.clock.now(), cut(&address));
             trace.started(attempt, &endpoint, at);
             Begun { at, endpoint }
         });
-        // A first attempt earns the fleet's retry budget its share.
+        // A first attempt earns a fraction of a retry token for the fleet.
         if attempt == 0 && self.settings.retry_budget {
-            self.tell_fleet(FleetUpdate::FirstAttempt(exchange.destination));
+            self.notify_fleet(FleetUpdate::FirstAttempt(exchange.destination));
         }
-        // The feature records an attempt only after the fact, so that the proofs show that they detect it.
+        // With the feature, the attempt is not recorded before it starts: a fault that the proofs have to detect.
         if !cfg!(feature = "broken-order") {
             self.records.push(Record::Started { id: exchange.id.clone(), attempt, begun });
         }
--- a/src/state.rs
+++ b/src/state.rs
@@ -8,7 +8,7 @@
 use overload::backlog::Backlog;
 use overload::waits::Waits;
 use permits::held::Held;
-use repeats::hand::Hand;
+use repeats::tokens::RetryTokens;
 use serde::{Deserialize, Serialize};
 
 use crate::estimate::ResponseTimes;
@@ -115,7 +115,7 @@
     pub(crate) queue: BTreeSet<(ReleaseOrder, MessageId)>,
     /// Tokens of the senders' shared retry budget that this sender holds.
     #[serde(default, rename = "repeats")]
-    pub(crate) retry_tokens: Hand,
+    pub(crate) retry_tokens: RetryTokens,
 }
 
 /// An endpoint. Invariant: while `out_of_service` is set, no new call goes there.
--- a/tests/outage.rs
+++ b/tests/outage.rs
@@ -92,7 +92,7 @@
         &self.clearance
     }
 
-    fn expected(&self, _: &Exchange) -> Option<Expected> {
+    fn expected_receipt(&self, _: &Exchange) -> Option<Expected> {
         None
     }
 }
