--- a/src/runtime/handover.rs
+++ b/src/runtime/handover.rs
@@ -163,7 +163,7 @@
     }
 
     fn drop_message(&mut self, message: &HeldMessage) {
-        self.classes.release(message.class);
-        self.handle(Event::Gone(message.message));
+        self.classes.remove_message(message.class);
+        self.handle(Event::Withdrawn(message.message));
     }
 }
