--- a/src/rules.rs
+++ b/src/rules.rs
@@ -28,9 +28,9 @@
 /// Without a known rate, the first pacing interval is the mean spacing of calls, at most the shortest aim
 /// divided by this.
 const UNLISTED_INTERVAL_AIM_DIVISOR: Micros = 10;
-/// Grants are requested where a sender's next calls, one for each of the senders, take longer than this many
-/// shortest aims: such a sender learns too late from its own outcomes what all senders do. A sender among few
-/// learns it in time.
+/// Grants are requested if as many consecutive calls of one sender as there are senders, at its expected
+/// spacing, take longer than this many shortest aims. Such a sender learns too late from its own outcomes
+/// what all senders do; among few senders each sees the effect of the others soon.
 const COORDINATION_AIMS: Micros = 4;
 /// Time-out of a non-idempotent message, in aims. Half of it is the shortest time-out of other messages.
 const NON_IDEMPOTENT_TIMEOUT_AIMS: Micros = 2;
@@ -49,7 +49,8 @@
 /// once per half warm-up if that is shorter, so that a return is noticed before the destination is more than
 /// half warm.
 const SHARED_TRIAL_SPACINGS: Micros = 12;
-/// Failures in a row that establish an outage. Two suffice if they span an overload window.
+/// Failures in a row, before a success, that count as an outage. Two are enough if the successful call
+/// started at least one overload window after the first failed one.
 const OUTAGE_STREAK: u32 = 6;
 /// The calls in flight of one path take at most the number of call slots divided by this, but at least two.
 const PATH_SLOTS_DIVISOR: u32 = 2;
@@ -695,9 +696,9 @@
     /// Ends messages that are not expected to start in time, by the waits that the coordinator reports for
     /// all senders, or else by this sender's own queue.
     ///
-    /// Deviation from the published mechanism: the client is told at once instead of at the due time. Known
-    /// limitation: the estimate expects a surge to last as long again as it has lasted, so messages are ended
-    /// unnecessarily if it is shorter.
+    /// Deviation from the published mechanism: the client is answered at once instead of at the due time.
+    /// Known limitation: the estimate expects a surge to last as long again as it has lasted, so messages are
+    /// ended unnecessarily if it is shorter.
     fn shed_load(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let mut too_late = Vec::new();
         for destination in self
@@ -788,6 +789,9 @@
                         let idle = endpoint.has_idle_connection(now, self.settings.idle_timeout);
                         let shuffled = shuffle_key(self.seed, target.0);
                         let failing = endpoint.failures >= FAILING_STREAK && endpoint.next_trial > now;
+                        // The preferred endpoint can join a call, is not failing, has the fewest calls in
+                        // flight, an idle connection and the lowest fee; ties are broken in a different order
+                        // at each sender.
                         let preference = (!joins, failing, endpoint.in_flight, !idle, fee, shuffled, *target);
                         choice = Some(choice.map_or(preference, |best| preference.min(best)));
                     }
