--- a/crates/verdict/src/heard.rs
+++ b/crates/verdict/src/heard.rs
@@ -1,152 +1,161 @@
-//! How much came of a call's answer, and the worlds that this leaves possible.
+//! How much of the answer to a call arrived, and the call states that this leaves possible.
 
-use crate::Repeat;
-use crate::status::{StatusClass, StatusSet};
-use crate::worlds::{Action, Verdict, World, Worlds};
+use crate::RetryEffect;
+use crate::status::{StatusClass, StatusClassSet};
+use crate::worlds::{Action, CallState, Decision, PossibleStates};
 
-/// How much of an answer came.
+/// How much of an answer arrived.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Extent {
     /// No byte of a final answer.
     #[default]
     Nothing,
-    /// A part of its first line, which one of these statuses may have.
-    PartOfLine(StatusSet),
-    /// Bytes that are no first line, or interim answers without end.
-    Unreadable,
-    /// Its first line, and perhaps more.
-    FirstLine(StatusClass),
-    /// All of it.
-    Whole(StatusClass),
+    /// A prefix of the status line, which may belong to a status of any of these classes.
+    PartialStatusLine(StatusClassSet),
+    /// Bytes that are not a status line, or interim answers without end.
+    Malformed,
+    /// The complete status line, and perhaps more.
+    StatusLine(StatusClass),
+    /// The complete answer.
+    Complete(StatusClass),
 }
 
 impl Extent {
-    /// What bytes say that came and end before the end of a first line.
-    pub fn of_part(bytes: &[u8]) -> Self {
+    /// The extent of an answer of which only these bytes arrived, which end before the end of a status line.
+    pub fn from_partial(bytes: &[u8]) -> Self {
         if bytes.is_empty() {
             return Extent::Nothing;
         }
-        match StatusSet::of_part(bytes) {
-            none if none.is_empty() && interim(bytes) => Extent::Nothing,
-            none if none.is_empty() => Extent::Unreadable,
-            statuses => Extent::PartOfLine(statuses),
+        match StatusClassSet::from_partial(bytes) {
+            none if none.is_empty() && begins_interim_answer(bytes) => Extent::Nothing,
+            none if none.is_empty() => Extent::Malformed,
+            classes => Extent::PartialStatusLine(classes),
         }
     }
 
     fn class(self) -> Option<StatusClass> {
         match self {
-            Extent::Nothing | Extent::PartOfLine(_) | Extent::Unreadable => None,
-            Extent::FirstLine(class) | Extent::Whole(class) => Some(class),
+            Extent::Nothing | Extent::PartialStatusLine(_) | Extent::Malformed => None,
+            Extent::StatusLine(class) | Extent::Complete(class) => Some(class),
         }
     }
 
-    /// What it says if it is the call's own.
-    fn own(self) -> Worlds {
+    /// The possible states if the answer belongs to the call.
+    fn own_states(self) -> PossibleStates {
         match self {
-            Extent::Nothing => Worlds::UNANSWERED,
-            Extent::PartOfLine(statuses) => {
-                statuses.classes().fold(Worlds::UNANSWERED, |worlds, class| worlds.or(class.whole()))
+            Extent::Nothing => PossibleStates::UNANSWERED,
+            Extent::PartialStatusLine(classes) => {
+                classes.classes().fold(PossibleStates::UNANSWERED, |states, class| {
+                    states.union(class.states_after_complete_answer())
+                })
             }
-            Extent::Unreadable => Worlds::ALL,
-            Extent::FirstLine(class) => class.first_line(),
-            Extent::Whole(class) => class.whole(),
+            Extent::Malformed => PossibleStates::ALL,
+            Extent::StatusLine(class) => class.states_after_status_line(),
+            Extent::Complete(class) => class.states_after_complete_answer(),
         }
     }
 }
 
-/// Whether bytes begin a whole interim answer, whose head is not whole.
-fn interim(bytes: &[u8]) -> bool {
+/// Returns whether the bytes begin with the status line of an interim answer (1xx) whose head is incomplete.
+fn begins_interim_answer(bytes: &[u8]) -> bool {
     let line =
         bytes.strip_prefix(b"HTTP/1.").and_then(|rest| rest.strip_prefix(b"1").or(rest.strip_prefix(b"0")));
     matches!(line, Some([b' ', b'1', ..]))
 }
 
-/// Where an answer stands on its connection.
+/// Position of an answer on its connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Position {
-    /// It is the first: nothing earlier can have been put there.
+    /// The first answer: no copy of an earlier one can precede it.
     #[default]
     First,
-    /// The connection carried calls before, so that it may be a copy of an earlier answer.
+    /// The connection carried calls before, so the answer may be a copy of an earlier one.
     Later,
 }
 
 impl Position {
-    /// On a connection that carried so many calls before.
-    pub fn after(calls: u32) -> Self {
-        if calls == 0 { Position::First } else { Position::Later }
+    /// The position on a connection that carried this many calls before.
+    pub fn after_calls(count: u32) -> Self {
+        if count == 0 { Position::First } else { Position::Later }
     }
 }
 
-/// What came after what was heard.
+/// What followed an answer on its connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub enum After {
-    /// The connection ended, in whatever way, or nobody listens any more. So it is, too, while the answer is still to settle: a kill
-    /// may come at any time.
+pub enum Settlement {
+    /// The connection ended, or the relay stopped reading from it. An answer that still waits to settle counts as unsettled too,
+    /// because the process may be killed at any time.
     #[default]
-    Ended,
+    Unsettled,
     /// The connection stayed quiet until the answer had settled.
     Settled,
-    /// Something came that nobody had asked for, or that does not go on as it began.
-    Surplus,
+    /// Data followed that answers no request, or that does not continue the answer.
+    UnsolicitedData,
 }
 
-/// What was heard of one call.
+/// What was received of the answer to one call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Heard {
-    /// The call's last byte was written.
-    pub written: bool,
-    /// How much of an answer came.
+pub struct ReceivedAnswer {
+    /// The last byte of the request was written.
+    pub request_written: bool,
+    /// How much of an answer arrived.
     pub extent: Extent,
-    /// Where it stands on its connection.
+    /// Position of the answer on its connection.
     pub position: Position,
-    /// What came after it.
-    pub after: After,
-    /// The endpoint has written unasked lately, so that an answer may be a copy.
-    pub suspect: bool,
+    /// What followed the answer.
+    pub settlement: Settlement,
+    /// The endpoint sent unsolicited data recently, so the answer may be a copy.
+    pub copy_suspected: bool,
 }
 
-impl Heard {
-    /// The worlds that it leaves possible.
-    pub fn worlds(&self) -> Worlds {
-        let attributed = self.attributed();
-        if self.written {
+impl ReceivedAnswer {
+    /// The call states that remain possible.
+    pub fn possible_states(&self) -> PossibleStates {
+        let attributed = self.attributed_states();
+        if self.request_written {
             return attributed;
         }
-        // What was not written to its last byte never ran, unless an answer says that its message had ended before.
-        let ends = Worlds::of(&[World::Delivered, World::Over, World::Spent]);
-        Worlds::of(&[World::NeverRan]).or(attributed.and(ends))
+        // A request whose last byte was not written never ran, unless the answer says that the message had ended before.
+        let ends = PossibleStates::of(&[
+            CallState::Delivered,
+            CallState::EndedElsewhere,
+            CallState::AttemptsExhausted,
+        ]);
+        PossibleStates::of(&[CallState::NeverRan]).union(attributed.intersection(ends))
     }
 
-    fn attributed(&self) -> Worlds {
-        let own = self.extent.own();
-        match (self.position, self.after) {
-            (Position::First, _) | (Position::Later, After::Settled) => own,
-            (Position::Later, After::Surplus) => Worlds::ALL,
-            (Position::Later, After::Ended) if self.suspect => own.or(Worlds::UNANSWERED),
-            (Position::Later, After::Ended) => match self.extent.class() {
-                Some(class) => class.unsettled(own),
+    /// The possible states of a call whose request was written, with regard to copies of earlier answers.
+    fn attributed_states(&self) -> PossibleStates {
+        let own = self.extent.own_states();
+        match (self.position, self.settlement) {
+            (Position::First, _) | (Position::Later, Settlement::Settled) => own,
+            (Position::Later, Settlement::UnsolicitedData) => PossibleStates::ALL,
+            (Position::Later, Settlement::Unsettled) if self.copy_suspected => {
+                own.union(PossibleStates::UNANSWERED)
+            }
+            (Position::Later, Settlement::Unsettled) => match self.extent.class() {
+                Some(class) => class.states_if_unsettled(own),
                 None => own,
             },
         }
     }
 
-    /// What it means for the call's message.
-    pub fn verdict(&self) -> Verdict {
-        self.worlds().verdict()
+    /// The decision on the call's message.
+    pub fn decision(&self) -> Decision {
+        self.possible_states().decision()
     }
 
-    /// Whether an answer is still to settle before it counts.
-    pub fn settles(&self) -> bool {
-        self.position == Position::Later && self.after == After::Ended
+    /// Returns whether the answer counts only once the connection has stayed quiet for a while.
+    pub fn needs_settling(&self) -> bool {
+        self.position == Position::Later && self.settlement == Settlement::Unsettled
     }
 
-    /// Whether the connection of a whole answer that may be a copy is closed at once, so that no repeat overlaps the call. Taking
-    /// a call that runs for one that never ran matters where a repeat may take effect again; taking one that was refused for
-    /// delivered always does.
-    pub fn closes_at_once(&self, repeat: Repeat) -> bool {
-        let owed = !matches!(self.extent, Extent::Whole(class) if class.carries_more());
-        let never_ran = self.extent.own().allow(Action::SendAgain, Repeat::Harmful);
-        self.settles() && owed && (repeat == Repeat::Harmless || !never_ran)
+    /// Returns whether the connection of a complete answer that may be a copy is closed at once, so that no retry overlaps
+    /// the call. Mistaking a running call for one that never ran matters only if a retry may take effect again; mistaking
+    /// a refused call for a delivered one always matters.
+    pub fn closes_immediately(&self, retry_effect: RetryEffect) -> bool {
+        let not_ended = !matches!(self.extent, Extent::Complete(class) if class.allows_reuse());
+        let never_ran = self.extent.own_states().allows(Action::Retry, RetryEffect::Harmful);
+        self.needs_settling() && not_ended && (retry_effect == RetryEffect::Harmless || !never_ran)
     }
 }
--- a/crates/verdict/src/lib.rs
+++ b/crates/verdict/src/lib.rs
@@ -1,27 +1,28 @@
-//! What the answer to a call proves about its message, and what may be done next. Owns the table of statuses, the verdict
-//! on an attempt, and the reuse of connections. No I/O and no clock.
+//! What the answer to a call proves about its message, and what may be done next: the table of status classes, the
+//! decision on an attempt, and the reuse of connections. No I/O and no clock.
 //!
-//! A call leaves several worlds possible: it may have been delivered, be over elsewhere, run yet, and so on. [`Heard`]
-//! says how much came of an answer; [`Heard::worlds`] names the worlds that leaves; [`Worlds::verdict`] allows an action
-//! only where it is right in every one of them. `docs/attribution.md` describes the rules.
+//! After a call several states of its message remain possible: it may have been delivered, have ended elsewhere, still
+//! run, and so on. [`ReceivedAnswer`] describes how much of an answer arrived; [`ReceivedAnswer::possible_states`] returns
+//! the states that this leaves possible; [`PossibleStates::decision`] allows an action only if it is correct in every one
+//! of them. `docs/attribution.md` describes the rules.
 
 mod heard;
 pub mod reuse;
 mod status;
 mod worlds;
 
-pub use heard::{After, Extent, Heard, Position};
-pub use status::{StatusClass, StatusSet};
-pub use worlds::{Action, Verdict, World, Worlds};
+pub use heard::{Extent, Position, ReceivedAnswer, Settlement};
+pub use status::{StatusClass, StatusClassSet};
+pub use worlds::{Action, CallState, Decision, PossibleStates};
 
-/// A time of the caller's clock, or a span of it, in microseconds.
+/// A time on the caller's clock, or a duration, in microseconds.
 pub type Micros = i64;
 
-/// What a second run of a message does.
+/// Effect of running a message a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Repeat {
-    /// It takes no effect that the first one did not.
+pub enum RetryEffect {
+    /// The second run has no effect beyond that of the first.
     Harmless,
-    /// It may take effect once more.
+    /// The second run may take effect once more.
     Harmful,
 }
--- a/crates/verdict/src/status.rs
+++ b/crates/verdict/src/status.rs
@@ -1,111 +1,116 @@
-//! What the protocol says of each status that an endpoint answers: one row a class, matched exhaustively, so that a new class
-//! does not compile until every column is decided.
+//! Meaning of each status of an endpoint's answer under the protocol. Statuses of equal meaning form a class. Each column
+//! matches all classes exhaustively, so that a new class does not compile until every column has an entry for it.
 
-use crate::worlds::{World, Worlds};
+use crate::worlds::{CallState, PossibleStates};
 
-/// Statuses that mean the same.
+/// Statuses with the same meaning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StatusClass {
     /// 200: delivered.
     Delivered,
-    /// Any other 2xx. The protocol does not name it; it may stand for a delivery.
+    /// Any other 2xx. The protocol does not define it; it may stand for a delivery.
     OtherSuccess,
-    /// 410: over elsewhere.
-    Over,
-    /// 429 and 503: turned away.
-    TurnedAway,
+    /// 410: the message ended elsewhere.
+    EndedElsewhere,
+    /// 429 and 503: the call was refused.
+    Refused,
     /// 504: all attempts are used.
-    Spent,
-    /// 500, and whatever else the protocol does not name: 3xx, 4xx, 5xx.
+    AttemptsExhausted,
+    /// 500, and every other status that the protocol does not define: 3xx, 4xx, 5xx.
     Failed,
 }
 
 impl StatusClass {
-    /// All of them.
+    /// All classes.
     pub const ALL: [StatusClass; 6] = [
         StatusClass::Delivered,
         StatusClass::OtherSuccess,
-        StatusClass::Over,
-        StatusClass::TurnedAway,
-        StatusClass::Spent,
+        StatusClass::EndedElsewhere,
+        StatusClass::Refused,
+        StatusClass::AttemptsExhausted,
         StatusClass::Failed,
     ];
 
-    /// The class of a status; `None` where it is no final one.
-    pub fn of(status: u16) -> Option<Self> {
+    /// The class of a status; `None` if the status is not a final one.
+    pub fn from_status(status: u16) -> Option<Self> {
         Some(match status {
             200 => StatusClass::Delivered,
             201..=299 => StatusClass::OtherSuccess,
-            410 => StatusClass::Over,
-            429 | 503 => StatusClass::TurnedAway,
-            504 => StatusClass::Spent,
+            410 => StatusClass::EndedElsewhere,
+            429 | 503 => StatusClass::Refused,
+            504 => StatusClass::AttemptsExhausted,
             300..=599 => StatusClass::Failed,
             _ => return None,
         })
     }
 
-    /// What the whole answer says, if it is the call's own.
-    pub const fn whole(self) -> Worlds {
+    /// Possible states after the complete answer, if it belongs to the call.
+    pub const fn states_after_complete_answer(self) -> PossibleStates {
         match self {
-            StatusClass::Delivered => Worlds::of(&[World::Delivered]),
-            StatusClass::OtherSuccess => Worlds::of(&[World::Ran, World::Delivered]),
-            StatusClass::Over => Worlds::of(&[World::Over]),
-            StatusClass::TurnedAway => Worlds::of(&[World::NeverRan]),
-            StatusClass::Spent => Worlds::of(&[World::Spent]),
-            StatusClass::Failed => Worlds::of(&[World::NeverRan, World::Ran]),
+            StatusClass::Delivered => PossibleStates::of(&[CallState::Delivered]),
+            StatusClass::OtherSuccess => PossibleStates::of(&[CallState::Ran, CallState::Delivered]),
+            StatusClass::EndedElsewhere => PossibleStates::of(&[CallState::EndedElsewhere]),
+            StatusClass::Refused => PossibleStates::of(&[CallState::NeverRan]),
+            StatusClass::AttemptsExhausted => PossibleStates::of(&[CallState::AttemptsExhausted]),
+            StatusClass::Failed => PossibleStates::of(&[CallState::NeverRan, CallState::Ran]),
         }
     }
 
-    /// What the whole first line says, if it is the call's own and the rest does not come.
-    pub const fn first_line(self) -> Worlds {
+    /// Possible states after the complete status line, if it belongs to the call and the rest of the answer does not arrive.
+    pub const fn states_after_status_line(self) -> PossibleStates {
         match self {
-            // The first line tells it all.
-            StatusClass::Delivered | StatusClass::Over | StatusClass::Spent => self.whole(),
-            StatusClass::OtherSuccess | StatusClass::Failed => self.whole().or(Worlds::UNANSWERED),
-            // What breaks off proves no refusal.
-            StatusClass::TurnedAway => Worlds::UNANSWERED,
+            // The status line alone is conclusive.
+            StatusClass::Delivered | StatusClass::EndedElsewhere | StatusClass::AttemptsExhausted => {
+                self.states_after_complete_answer()
+            }
+            StatusClass::OtherSuccess | StatusClass::Failed => {
+                self.states_after_complete_answer().union(PossibleStates::UNANSWERED)
+            }
+            // A truncated answer does not prove a refusal.
+            StatusClass::Refused => PossibleStates::UNANSWERED,
         }
     }
 
-    /// What it says, `own` being what it says as the call's own, where the connection carried calls before and ended before the
-    /// answer had settled, and the endpoint has shown nothing that came unasked.
-    pub const fn unsettled(self, own: Worlds) -> Worlds {
+    /// Possible states after an answer on a connection that carried calls before and ended before the answer settled,
+    /// while its endpoint has sent no unsolicited data. `own` is the set that follows if the answer belongs to the call.
+    pub const fn states_if_unsettled(self, own: PossibleStates) -> PossibleStates {
         match self {
-            // Rare, and a report does no harm: here a message lost to a copy would be the greater harm.
-            StatusClass::Over => own.or(Worlds::UNANSWERED),
-            // An end of the connection is ordinary HTTP and no sign of a copy.
+            // This case is rare and a report does no harm, whereas trusting a copy would lose the message.
+            StatusClass::EndedElsewhere => own.union(PossibleStates::UNANSWERED),
+            // Closing the connection is ordinary HTTP and no sign of a copy.
             StatusClass::Delivered
             | StatusClass::OtherSuccess
-            | StatusClass::TurnedAway
-            | StatusClass::Spent
+            | StatusClass::Refused
+            | StatusClass::AttemptsExhausted
             | StatusClass::Failed => own,
         }
     }
 
-    /// Whether the connection may carry another call after such an answer. A copy of one that ends a message is never taken for the
-    /// refusal of another call, so that connections on which all answers were such show no false refusal by a copy.
-    pub const fn carries_more(self) -> bool {
+    /// Returns whether the connection may carry another call after such an answer. A copy of an answer that ends a message
+    /// is never taken for the refusal of another call; hence a connection on which all answers allowed reuse shows no
+    /// false refusal by a copy.
+    pub const fn allows_reuse(self) -> bool {
         match self {
-            StatusClass::Delivered | StatusClass::OtherSuccess | StatusClass::Over => true,
-            StatusClass::TurnedAway | StatusClass::Spent | StatusClass::Failed => false,
+            StatusClass::Delivered | StatusClass::OtherSuccess | StatusClass::EndedElsewhere => true,
+            StatusClass::Refused | StatusClass::AttemptsExhausted | StatusClass::Failed => false,
         }
     }
 }
 
-/// A set of classes.
+/// A set of status classes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct StatusSet(u8);
+pub struct StatusClassSet(u8);
 
-impl StatusSet {
-    /// The classes of the final statuses that a first line may have of which these bytes came. Interim answers (1xx) do not
-    /// count.
-    pub fn of_part(bytes: &[u8]) -> Self {
-        let matching = (200..=599).filter(|status| may_begin(bytes, *status));
-        let bits = matching.filter_map(StatusClass::of).fold(0, |bits, class| bits | 1 << class as u8);
-        StatusSet(bits)
+impl StatusClassSet {
+    /// The classes of all final statuses whose status line may begin with these bytes. Interim answers (1xx) do not count.
+    pub fn from_partial(bytes: &[u8]) -> Self {
+        let matching = (200..=599).filter(|status| may_begin_status_line(bytes, *status));
+        let bits =
+            matching.filter_map(StatusClass::from_status).fold(0, |bits, class| bits | 1 << class as u8);
+        StatusClassSet(bits)
     }
 
-    /// Whether no final status fits.
+    /// Returns whether the set has no class, that is, no final status matches.
     pub fn is_empty(self) -> bool {
         self.0 == 0
     }
@@ -116,8 +121,8 @@
     }
 }
 
-/// Whether bytes may be the beginning of a first line with this status.
-fn may_begin(bytes: &[u8], status: u16) -> bool {
+/// Returns whether a status line with this status may begin with these bytes.
+fn may_begin_status_line(bytes: &[u8], status: u16) -> bool {
     [0, 1].into_iter().any(|minor| {
         let line = format!("HTTP/1.{minor} {status}");
         let known = line.len().min(bytes.len());
--- a/crates/verdict/src/worlds.rs
+++ b/crates/verdict/src/worlds.rs
@@ -1,179 +1,202 @@
-//! The worlds that what was heard of a call leaves possible, and the actions that are right in all of them.
+//! The states of a call that remain possible after what was received, and the actions that are correct in all of them.
 
 use serde::{Deserialize, Serialize};
 
-use crate::Repeat;
+use crate::RetryEffect;
 
-/// What has become of a call and its message.
+/// State of a call and its message after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum World {
+pub enum CallState {
     /// The call never ran and never will.
     NeverRan,
-    /// The call may run yet.
-    MayRunYet,
-    /// The call took effect, and its message is still owed its end.
+    /// The call may still run.
+    MayStillRun,
+    /// The call took effect, and its message has not ended yet.
     Ran,
-    /// The message is delivered: nothing more is owed.
+    /// The message is delivered; no delivery or report is outstanding.
     Delivered,
-    /// The message is over elsewhere: nothing more is owed.
-    Over,
-    /// The call never ran, no further one can help, and the message is still owed its end.
-    Spent,
+    /// The message ended elsewhere; no delivery or report is outstanding.
+    EndedElsewhere,
+    /// The call never ran, no further attempt can help, and the message has not ended yet.
+    AttemptsExhausted,
 }
 
-impl World {
-    /// All of them.
-    pub const ALL: [World; 6] =
-        [World::NeverRan, World::MayRunYet, World::Ran, World::Delivered, World::Over, World::Spent];
+impl CallState {
+    /// All states.
+    pub const ALL: [CallState; 6] = [
+        CallState::NeverRan,
+        CallState::MayStillRun,
+        CallState::Ran,
+        CallState::Delivered,
+        CallState::EndedElsewhere,
+        CallState::AttemptsExhausted,
+    ];
 
     const fn bit(self) -> u8 {
         1 << self as u8
     }
 
-    /// Whether an action is right in this world.
-    pub const fn allows(self, action: Action, repeat: Repeat) -> bool {
+    /// Returns whether an action is correct in this state.
+    pub const fn allows(self, action: Action, retry_effect: RetryEffect) -> bool {
         match (action, self) {
-            (Action::Forget, World::Delivered | World::Over) => true,
-            (Action::Forget, World::NeverRan | World::MayRunYet | World::Ran | World::Spent) => false,
-            // A report for a message that is over does no harm.
+            (Action::Discard, CallState::Delivered | CallState::EndedElsewhere) => true,
+            (
+                Action::Discard,
+                CallState::NeverRan | CallState::MayStillRun | CallState::Ran | CallState::AttemptsExhausted,
+            ) => false,
+            // A report for a message that has ended elsewhere does no harm.
             (Action::Report, _) => true,
-            (Action::SendAgain, World::NeverRan) => true,
-            (Action::SendAgain, World::MayRunYet | World::Ran) => matches!(repeat, Repeat::Harmless),
-            (Action::SendAgain, World::Delivered | World::Over | World::Spent) => false,
+            (Action::Retry, CallState::NeverRan) => true,
+            (Action::Retry, CallState::MayStillRun | CallState::Ran) => {
+                matches!(retry_effect, RetryEffect::Harmless)
+            }
+            (
+                Action::Retry,
+                CallState::Delivered | CallState::EndedElsewhere | CallState::AttemptsExhausted,
+            ) => false,
         }
     }
 }
 
-/// What may be done once a call has ended.
+/// Actions that may follow the end of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// The message ends, and nobody is told.
-    Forget,
-    /// The message ends by a non-delivery report.
+    /// End the message without a report.
+    Discard,
+    /// End the message with a non-delivery report.
     Report,
-    /// The message may be sent again.
-    SendAgain,
+    /// Send the message again.
+    Retry,
 }
 
-/// A set of worlds.
+/// A set of call states.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Worlds(u8);
+pub struct PossibleStates(u8);
 
-impl Worlds {
-    /// Nothing was heard of a call that went out.
-    pub const UNANSWERED: Worlds = Worlds::of(&[World::NeverRan, World::MayRunYet, World::Ran]);
-    /// An answer came that says nothing.
-    pub const ALL: Worlds = Worlds::of(&World::ALL);
+impl PossibleStates {
+    /// States of a call that was sent and had no answer.
+    pub const UNANSWERED: PossibleStates =
+        PossibleStates::of(&[CallState::NeverRan, CallState::MayStillRun, CallState::Ran]);
+    /// States of a call whose answer proves nothing.
+    pub const ALL: PossibleStates = PossibleStates::of(&CallState::ALL);
 
-    /// These worlds.
-    pub const fn of(worlds: &[World]) -> Self {
+    /// The set of these states.
+    pub const fn of(states: &[CallState]) -> Self {
         let (mut bits, mut index) = (0, 0);
-        while index < worlds.len() {
-            bits |= worlds[index].bit();
+        while index < states.len() {
+            bits |= states[index].bit();
             index += 1;
         }
-        Worlds(bits)
+        PossibleStates(bits)
     }
 
-    /// Whether a world is in the set.
-    pub const fn contains(self, world: World) -> bool {
-        self.0 & world.bit() != 0
+    /// Returns whether a state is in the set.
+    pub const fn contains(self, state: CallState) -> bool {
+        self.0 & state.bit() != 0
     }
 
-    /// Both sets.
+    /// The union of both sets.
     #[must_use]
-    pub const fn or(self, other: Worlds) -> Self {
-        Worlds(self.0 | other.0)
+    pub const fn union(self, other: PossibleStates) -> Self {
+        PossibleStates(self.0 | other.0)
     }
 
-    /// What both sets share.
+    /// The intersection of both sets.
     #[must_use]
-    pub const fn and(self, other: Worlds) -> Self {
-        Worlds(self.0 & other.0)
+    pub const fn intersection(self, other: PossibleStates) -> Self {
+        PossibleStates(self.0 & other.0)
     }
 
-    /// Whether an action is right in every world of the set.
-    pub fn allow(self, action: Action, repeat: Repeat) -> bool {
-        World::ALL.into_iter().filter(|world| self.contains(*world)).all(|world| world.allows(action, repeat))
+    /// Returns whether an action is correct in every state of the set.
+    pub fn allows(self, action: Action, retry_effect: RetryEffect) -> bool {
+        CallState::ALL
+            .into_iter()
+            .filter(|state| self.contains(*state))
+            .all(|state| state.allows(action, retry_effect))
     }
 
-    /// What these worlds mean for the message.
-    pub fn verdict(self) -> Verdict {
-        let may_have_run = self.contains(World::MayRunYet) || self.contains(World::Ran);
+    /// The decision on the message that is correct in every state of the set.
+    pub fn decision(self) -> Decision {
+        let may_have_run = self.contains(CallState::MayStillRun) || self.contains(CallState::Ran);
         match () {
-            () if self == Worlds::of(&[World::Delivered]) => Verdict::Delivered,
-            () if self.allow(Action::Forget, Repeat::Harmful) => Verdict::Over,
-            () if self.contains(World::Delivered) || self.contains(World::Over) => Verdict::MayHaveEnded,
-            () if self.contains(World::Spent) => Verdict::Spent { may_have_run },
-            () => Verdict::Owed { may_have_run },
+            () if self == PossibleStates::of(&[CallState::Delivered]) => Decision::Delivered,
+            () if self.allows(Action::Discard, RetryEffect::Harmful) => Decision::EndedElsewhere,
+            () if self.contains(CallState::Delivered) || self.contains(CallState::EndedElsewhere) => {
+                Decision::MayHaveEnded
+            }
+            () if self.contains(CallState::AttemptsExhausted) => Decision::AttemptsExhausted { may_have_run },
+            () => Decision::Pending { may_have_run },
         }
     }
 }
 
-/// What an attempt that has ended means for its message.
+/// What the end of an attempt means for its message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Verdict {
-    /// Delivered: nothing more is owed.
+pub enum Decision {
+    /// The message is delivered and needs nothing more.
     Delivered,
-    /// Over elsewhere: nothing more is owed.
-    Over,
-    /// It may have ended: it is reported, and never sent again.
+    /// The message ended elsewhere and needs nothing more.
+    #[serde(rename = "Over")]
+    EndedElsewhere,
+    /// The message may have ended: it is reported and never sent again.
     MayHaveEnded,
-    /// No further attempt can help: it is reported.
-    Spent {
+    /// No further attempt can help: the message is reported.
+    #[serde(rename = "Spent")]
+    AttemptsExhausted {
         /// An attempt may have run.
         may_have_run: bool,
     },
-    /// It is still owed its end, and may be sent again as far as its class allows that.
-    Owed {
-        /// The attempt may have run, or may run yet.
+    /// The message has not ended, and may be sent again if its class allows that.
+    #[serde(rename = "Owed")]
+    Pending {
+        /// The attempt may have run, or may still run.
         may_have_run: bool,
     },
 }
 
-impl Verdict {
-    /// Whether nothing more is owed.
-    pub fn ended(self) -> bool {
+impl Decision {
+    /// Returns whether the message has ended and needs nothing more.
+    pub fn is_ended(self) -> bool {
         match self {
-            Verdict::Delivered | Verdict::Over => true,
-            Verdict::MayHaveEnded | Verdict::Spent { .. } | Verdict::Owed { .. } => false,
+            Decision::Delivered | Decision::EndedElsewhere => true,
+            Decision::MayHaveEnded | Decision::AttemptsExhausted { .. } | Decision::Pending { .. } => false,
         }
     }
 
-    /// Whether the message may be sent again, as far as its class allows that.
-    pub fn owed(self) -> bool {
-        matches!(self, Verdict::Owed { .. })
+    /// Returns whether the message may be sent again if its class allows that.
+    pub fn is_pending(self) -> bool {
+        matches!(self, Decision::Pending { .. })
     }
 
-    /// Whether the attempt may have taken effect, or may do so yet, without a proof of delivery.
+    /// Returns whether the attempt may have taken effect, or may still do so, without proof of delivery.
     pub fn may_have_run(self) -> bool {
         match self {
-            Verdict::Delivered | Verdict::Over => false,
-            Verdict::MayHaveEnded => true,
-            Verdict::Spent { may_have_run } | Verdict::Owed { may_have_run } => may_have_run,
+            Decision::Delivered | Decision::EndedElsewhere => false,
+            Decision::MayHaveEnded => true,
+            Decision::AttemptsExhausted { may_have_run } | Decision::Pending { may_have_run } => may_have_run,
         }
     }
 
-    /// The actions that may follow.
-    pub fn allows(self, action: Action, repeat: Repeat) -> bool {
+    /// Returns whether an action may follow.
+    pub fn allows(self, action: Action, retry_effect: RetryEffect) -> bool {
         match (self, action) {
             (_, Action::Report) => true,
-            (Verdict::Delivered | Verdict::Over, Action::Forget) => true,
-            (Verdict::Owed { may_have_run }, Action::SendAgain) => {
-                !may_have_run || repeat == Repeat::Harmless
+            (Decision::Delivered | Decision::EndedElsewhere, Action::Discard) => true,
+            (Decision::Pending { may_have_run }, Action::Retry) => {
+                !may_have_run || retry_effect == RetryEffect::Harmless
             }
             _ => false,
         }
     }
 
-    /// In a word, for logs and counts.
-    pub fn word(self) -> &'static str {
+    /// Label for logs and counters.
+    pub fn label(self) -> &'static str {
         match self {
-            Verdict::Delivered => "delivered",
-            Verdict::Over => "over",
-            Verdict::MayHaveEnded => "may have ended",
-            Verdict::Spent { .. } => "spent",
-            Verdict::Owed { .. } => "owed",
+            Decision::Delivered => "delivered",
+            Decision::EndedElsewhere => "over",
+            Decision::MayHaveEnded => "may have ended",
+            Decision::AttemptsExhausted { .. } => "spent",
+            Decision::Pending { .. } => "owed",
         }
     }
 }
--- a/crates/verdict/tests/model.rs
+++ b/crates/verdict/tests/model.rs
@@ -1,51 +1,53 @@
-//! One message, one endpoint, one connection and a relay with a journal, explored exhaustively: every status, cut at each part,
-//! copies, closes, time-outs, cancellations, and kills between any two steps. The relay decides by the crate's own verdicts.
+//! Model of one message, one endpoint, one connection and a relay with a journal, checked exhaustively: every status, answers
+//! truncated at each part, copies, closed connections, timeouts, cancellations, and kills between any two steps. The model
+//! uses the crate's own decisions.
 
 use stateright::{Checker, Model, Property};
-use verdict::{After, Extent, Heard, Position, Repeat, StatusClass, Verdict};
+use verdict::{Decision, Extent, Position, ReceivedAnswer, RetryEffect, Settlement, StatusClass};
 
-/// Calls of one message that are explored.
+/// Largest number of calls of the message.
 const MAX_CALLS: u8 = 3;
-/// Kills that are explored.
+/// Largest number of kills of the relay.
 const MAX_KILLS: u8 = 2;
 
-/// What the relay has made of the message.
+/// How the relay ended the message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum End {
-    Forgotten,
+    Discarded,
     Reported,
 }
 
-/// A call that is out, as its endpoint sees it.
+/// A call in flight, as its endpoint sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Call {
-    /// What its endpoint answers, once that is decided.
+    /// The endpoint's answer, once it is decided.
     own: Option<StatusClass>,
-    /// What came on the connection in the place of its answer.
-    came: Option<StatusClass>,
+    /// The answer that the relay received: the call's own or a copy of an earlier one.
+    received: Option<StatusClass>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    // The endpoint.
+    // State of the endpoint.
     call: Option<Call>,
-    ran: u8,
+    /// Number of times that the message took effect.
+    runs: u8,
     /// The endpoint ended the message: 200, 410 or 504.
     ended: bool,
-    // The relay's process; none while it is down.
+    // State of the relay's process.
     up: bool,
-    heard: Heard,
+    received: ReceivedAnswer,
     end: Option<End>,
     calls: u8,
     kills: u8,
     may_have_run: bool,
-    // Its journal.
-    open: bool,
-    noted: Option<Verdict>,
-    // What the checker holds against it.
-    /// An own first line that ends the message was stored, or could have been.
-    knows_end: bool,
-    sent_on: bool,
+    // The relay's journal.
+    attempt_open: bool,
+    stored_decision: Option<Decision>,
+    // Observations for the properties.
+    /// A status line of the call's own answer that ends the message was stored, or could have been.
+    end_known: bool,
+    sent_after_end: bool,
     reported_delivered: bool,
 }
 
@@ -53,79 +55,83 @@
 enum Action {
     Send,
     EndpointAnswers(StatusClass),
-    /// An answer reaches the relay as far as that: the call's own, or a copy of an earlier 200.
-    Comes {
+    /// The relay receives an answer up to this extent: the call's own, or a copy of an earlier 200.
+    Receive {
         copy: bool,
         extent: ExtentKind,
     },
-    /// What was heard is stored, as it is before anything else may be decided.
-    Note,
-    /// The connection ends, the call is cancelled, or its time is up.
-    Ends,
-    StaysQuiet,
-    Surplus,
+    /// The decision is stored, which has to precede any other step that depends on it.
+    StoreDecision,
+    /// The connection ends, the call is cancelled, or it times out.
+    EndCall,
+    StayQuiet,
+    ReceiveUnsolicitedData,
     Kill,
     Restart,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum ExtentKind {
-    PartOfLine,
-    FirstLine,
-    Whole,
+    PartialStatusLine,
+    StatusLine,
+    Complete,
 }
 
-/// What is explored, and which guard is taken out.
+/// Parameters of the model, and the safeguard that is removed.
 #[derive(Clone, Copy, Debug)]
-struct Worlds {
-    repeat: Repeat,
+struct AttemptModel {
+    retry_effect: RetryEffect,
     position: Position,
-    /// Copies come, and the endpoint has shown that.
+    /// Copies arrive, and the endpoint is suspected of them.
     copies: bool,
-    broken: Option<Break>,
+    removed: Option<Safeguard>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Break {
-    /// An end is noted only once its call has ended.
-    NotesLate,
-    /// 410 is read like any refusal.
-    RefusesOver,
-    /// An end of the connection is nothing, though copies come.
-    NoSuspicion,
+enum Safeguard {
+    /// Decisions that end the message are stored before the call has ended.
+    EarlyStore,
+    /// 410 is not treated as a refusal.
+    EndedElsewhereIsNoRefusal,
+    /// An unsettled answer of an endpoint that sends copies is doubted.
+    CopySuspicion,
 }
 
-fn line_of(class: StatusClass) -> &'static [u8] {
+fn status_line(class: StatusClass) -> &'static [u8] {
     match class {
         StatusClass::Delivered => b"HTTP/1.1 200",
         StatusClass::OtherSuccess => b"HTTP/1.1 204",
-        StatusClass::Over => b"HTTP/1.1 410",
-        StatusClass::TurnedAway => b"HTTP/1.1 503",
-        StatusClass::Spent => b"HTTP/1.1 504",
+        StatusClass::EndedElsewhere => b"HTTP/1.1 410",
+        StatusClass::Refused => b"HTTP/1.1 503",
+        StatusClass::AttemptsExhausted => b"HTTP/1.1 504",
         StatusClass::Failed => b"HTTP/1.1 500",
     }
 }
 
-impl Worlds {
-    fn verdict(&self, heard: &Heard) -> Verdict {
-        let refused =
-            matches!(heard.extent, Extent::FirstLine(StatusClass::Over) | Extent::Whole(StatusClass::Over));
-        if self.broken == Some(Break::RefusesOver) && refused {
-            return Verdict::Owed { may_have_run: heard.after != After::Settled };
+impl AttemptModel {
+    fn decision(&self, received: &ReceivedAnswer) -> Decision {
+        let ended_elsewhere = matches!(
+            received.extent,
+            Extent::StatusLine(StatusClass::EndedElsewhere) | Extent::Complete(StatusClass::EndedElsewhere)
+        );
+        if self.removed == Some(Safeguard::EndedElsewhereIsNoRefusal) && ended_elsewhere {
+            return Decision::Pending { may_have_run: received.settlement != Settlement::Settled };
         }
-        heard.verdict()
+        received.decision()
     }
 
-    /// The relay ends the message, or owes it another call.
-    fn conclude(&self, state: &mut State, verdict: Verdict) {
-        Self::observe(state);
-        let delivered = heard_delivered(&state.heard);
-        (state.call, state.open, state.noted, state.heard) = (None, false, None, Heard::default());
-        state.may_have_run |= verdict.may_have_run();
-        let again = verdict.owed() && (self.repeat == Repeat::Harmless || !state.may_have_run);
+    /// The relay ends the message, or keeps it for another call.
+    fn conclude(&self, state: &mut State, decision: Decision) {
+        Self::observe_end(state);
+        let delivered = delivery_proven(&state.received);
+        (state.call, state.attempt_open, state.stored_decision, state.received) =
+            (None, false, None, ReceivedAnswer::default());
+        state.may_have_run |= decision.may_have_run();
+        let may_retry =
+            decision.is_pending() && (self.retry_effect == RetryEffect::Harmless || !state.may_have_run);
         match () {
-            () if verdict.ended() => state.end = Some(End::Forgotten),
-            () if again && state.calls < MAX_CALLS => {}
+            () if decision.is_ended() => state.end = Some(End::Discarded),
+            () if may_retry && state.calls < MAX_CALLS => {}
             () => {
                 state.end = Some(End::Reported);
                 state.reported_delivered |= delivered;
@@ -133,60 +139,63 @@
         }
     }
 
-    fn note(&self, state: &mut State) {
-        let verdict = self.verdict(&state.heard);
-        if !verdict.owed() {
-            state.noted = Some(verdict);
+    fn store_decision(&self, state: &mut State) {
+        let decision = self.decision(&state.received);
+        if !decision.is_pending() {
+            state.stored_decision = Some(decision);
         }
-        Self::observe(state);
+        Self::observe_end(state);
     }
 
-    /// What the checker holds against the relay from now on.
-    fn observe(state: &mut State) {
-        let own = state.call.is_some_and(|call| call.own == call.came);
-        let line = match state.heard.extent {
-            Extent::FirstLine(class) | Extent::Whole(class) => Some(class),
-            Extent::Nothing | Extent::PartOfLine(_) | Extent::Unreadable => None,
+    /// Records whether the relay now knows that the message has ended.
+    fn observe_end(state: &mut State) {
+        let own = state.call.is_some_and(|call| call.own == call.received);
+        let status_class = match state.received.extent {
+            Extent::StatusLine(class) | Extent::Complete(class) => Some(class),
+            Extent::Nothing | Extent::PartialStatusLine(_) | Extent::Malformed => None,
         };
-        let ends = matches!(line, Some(StatusClass::Delivered | StatusClass::Over | StatusClass::Spent));
-        state.knows_end |= own && ends;
+        let ends = matches!(
+            status_class,
+            Some(StatusClass::Delivered | StatusClass::EndedElsewhere | StatusClass::AttemptsExhausted)
+        );
+        state.end_known |= own && ends;
     }
 }
 
-/// A first line that says so was heard where no doubt is possible.
-fn heard_delivered(heard: &Heard) -> bool {
+/// Returns whether a status line proved the delivery beyond doubt.
+fn delivery_proven(received: &ReceivedAnswer) -> bool {
     let delivered = matches!(
-        heard.extent,
-        Extent::FirstLine(StatusClass::Delivered) | Extent::Whole(StatusClass::Delivered)
+        received.extent,
+        Extent::StatusLine(StatusClass::Delivered) | Extent::Complete(StatusClass::Delivered)
     );
-    delivered && heard.position == Position::First
+    delivered && received.position == Position::First
 }
 
-impl Model for Worlds {
+impl Model for AttemptModel {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         vec![State {
             call: None,
-            ran: 0,
+            runs: 0,
             ended: false,
             up: true,
-            heard: Heard::default(),
+            received: ReceivedAnswer::default(),
             end: None,
             calls: 0,
             kills: 0,
             may_have_run: false,
-            open: false,
-            noted: None,
-            knows_end: false,
-            sent_on: false,
+            attempt_open: false,
+            stored_decision: None,
+            end_known: false,
+            sent_after_end: false,
             reported_delivered: false,
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        let outside = state.call.filter(|_| state.up);
+        let running_call = state.call.filter(|_| state.up);
         if !state.up {
             actions.push(Action::Restart);
         }
@@ -198,23 +207,24 @@
         } else if state.up && state.end.is_none() {
             actions.push(Action::Send);
         }
-        if let Some(call) = outside {
-            for extent in [ExtentKind::PartOfLine, ExtentKind::FirstLine, ExtentKind::Whole] {
-                actions.extend(call.own.map(|_| Action::Comes { copy: false, extent }));
+        if let Some(call) = running_call {
+            for extent in [ExtentKind::PartialStatusLine, ExtentKind::StatusLine, ExtentKind::Complete] {
+                actions.extend(call.own.map(|_| Action::Receive { copy: false, extent }));
                 let copies = self.copies && self.position == Position::Later;
-                actions.extend(copies.then_some(Action::Comes { copy: true, extent }));
+                actions.extend(copies.then_some(Action::Receive { copy: true, extent }));
             }
-            let whole = matches!(state.heard.extent, Extent::Whole(_));
-            let pending = !self.verdict(&state.heard).owed() && state.noted.is_none();
-            if pending && self.broken != Some(Break::NotesLate) {
-                actions.push(Action::Note);
+            let complete = matches!(state.received.extent, Extent::Complete(_));
+            let unstored = !self.decision(&state.received).is_pending() && state.stored_decision.is_none();
+            if unstored && self.removed != Some(Safeguard::EarlyStore) {
+                actions.push(Action::StoreDecision);
             } else {
-                actions.push(Action::Ends);
-                // A copy that is not followed by the call's own answer in time is what is left (docs/attribution.md).
-                let own = call.own.is_some() && call.came == call.own;
-                actions.extend((whole && own).then_some(Action::StaysQuiet));
-                let more = call.own.is_some() && call.came.is_some();
-                actions.extend((whole && more && self.copies).then_some(Action::Surplus));
+                actions.push(Action::EndCall);
+                // Known limitation: a copy that is not followed by the call's own answer in time counts as that answer
+                // (docs/attribution.md).
+                let own = call.own.is_some() && call.received == call.own;
+                actions.extend((complete && own).then_some(Action::StayQuiet));
+                let more = call.own.is_some() && call.received.is_some();
+                actions.extend((complete && more && self.copies).then_some(Action::ReceiveUnsolicitedData));
             }
         }
         if state.up && state.kills < MAX_KILLS {
@@ -227,81 +237,86 @@
         match action {
             Action::Send => {
                 state.calls += 1;
-                state.sent_on |= state.knows_end;
-                state.open = true;
-                state.call = Some(Call { own: None, came: None });
-                let suspect = self.copies && self.broken != Some(Break::NoSuspicion);
-                state.heard = Heard { written: true, position: self.position, suspect, ..Heard::default() };
+                state.sent_after_end |= state.end_known;
+                state.attempt_open = true;
+                state.call = Some(Call { own: None, received: None });
+                let copy_suspected = self.copies && self.removed != Some(Safeguard::CopySuspicion);
+                state.received = ReceivedAnswer {
+                    request_written: true,
+                    position: self.position,
+                    copy_suspected,
+                    ..ReceivedAnswer::default()
+                };
             }
             Action::EndpointAnswers(class) => {
                 let call = state.call.as_mut()?;
                 call.own = Some(class);
                 let ran =
                     matches!(class, StatusClass::Delivered | StatusClass::OtherSuccess | StatusClass::Failed);
-                state.ran += u8::from(ran);
-                state.ended |= matches!(class, StatusClass::Delivered | StatusClass::Over);
-                // Nobody hears the answer to a call of a process that is gone.
+                state.runs += u8::from(ran);
+                state.ended |= matches!(class, StatusClass::Delivered | StatusClass::EndedElsewhere);
+                // No process receives the answer to a call of a killed process.
                 if !state.up {
                     state.call = None;
                 }
             }
-            Action::Comes { copy, extent } => {
+            Action::Receive { copy, extent } => {
                 let call = state.call.as_mut()?;
                 let class = if copy { StatusClass::Delivered } else { call.own? };
-                let further = match (state.heard.extent, extent) {
+                let extends_received = match (state.received.extent, extent) {
                     (Extent::Nothing, _) => true,
-                    (Extent::PartOfLine(_), kind) => {
-                        call.came == Some(class) && kind != ExtentKind::PartOfLine
+                    (Extent::PartialStatusLine(_), kind) => {
+                        call.received == Some(class) && kind != ExtentKind::PartialStatusLine
                     }
-                    (Extent::FirstLine(_), ExtentKind::Whole) => call.came == Some(class),
+                    (Extent::StatusLine(_), ExtentKind::Complete) => call.received == Some(class),
                     _ => false,
                 };
-                if !further {
+                if !extends_received {
                     return None;
                 }
-                call.came = Some(class);
-                state.heard.extent = match extent {
-                    ExtentKind::PartOfLine => Extent::of_part(&line_of(class)[..10]),
-                    ExtentKind::FirstLine => Extent::FirstLine(class),
-                    ExtentKind::Whole => Extent::Whole(class),
+                call.received = Some(class);
+                state.received.extent = match extent {
+                    ExtentKind::PartialStatusLine => Extent::from_partial(&status_line(class)[..10]),
+                    ExtentKind::StatusLine => Extent::StatusLine(class),
+                    ExtentKind::Complete => Extent::Complete(class),
                 };
             }
-            Action::Note => self.note(&mut state),
-            Action::Ends => {
-                let verdict = self.verdict(&state.heard);
-                self.conclude(&mut state, verdict);
+            Action::StoreDecision => self.store_decision(&mut state),
+            Action::EndCall => {
+                let decision = self.decision(&state.received);
+                self.conclude(&mut state, decision);
             }
-            Action::StaysQuiet => {
-                state.heard.after = After::Settled;
-                let verdict = self.verdict(&state.heard);
-                self.conclude(&mut state, verdict);
+            Action::StayQuiet => {
+                state.received.settlement = Settlement::Settled;
+                let decision = self.decision(&state.received);
+                self.conclude(&mut state, decision);
             }
-            Action::Surplus => {
-                state.heard.after = After::Surplus;
-                let verdict = self.verdict(&state.heard);
-                self.conclude(&mut state, verdict);
+            Action::ReceiveUnsolicitedData => {
+                state.received.settlement = Settlement::UnsolicitedData;
+                let decision = self.decision(&state.received);
+                self.conclude(&mut state, decision);
             }
             Action::Kill => {
-                // What lay with the process for a moment could have been stored, unless it is taken out.
-                if self.broken == Some(Break::NotesLate) {
-                    Self::observe(&mut state);
+                // Without the early store, the end that the process knew could have been stored before the kill.
+                if self.removed == Some(Safeguard::EarlyStore) {
+                    Self::observe_end(&mut state);
                 }
-                (state.up, state.heard) = (false, Heard::default());
+                (state.up, state.received) = (false, ReceivedAnswer::default());
                 state.kills += 1;
-                // A call whose answer is decided is over; another one may run yet.
+                // A call whose answer is decided has ended; any other may still run.
                 state.call = state.call.filter(|call| call.own.is_none());
             }
             Action::Restart => {
                 state.up = true;
                 let call = state.call;
-                if let Some(verdict) = state.noted {
-                    self.conclude(&mut state, verdict);
-                } else if state.open {
-                    self.conclude(&mut state, Verdict::Owed { may_have_run: true });
+                if let Some(decision) = state.stored_decision {
+                    self.conclude(&mut state, decision);
+                } else if state.attempt_open {
+                    self.conclude(&mut state, Decision::Pending { may_have_run: true });
                 }
-                // The endpoint may serve the call of the process that is gone still; it is decided now, as no later time differs.
+                // The endpoint may still run the call of the killed process. It runs now, because a later time makes no difference.
                 if call.is_some() {
-                    state.ran += 1;
+                    state.runs += 1;
                 }
             }
         }
@@ -310,64 +325,68 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
+            Property::always("no call is sent after a received end", |_: &AttemptModel, state: &State| {
+                !state.sent_after_end
+            }),
             Property::always(
-                "nothing is sent on after an end that was heard",
-                |_: &Worlds, state: &State| !state.sent_on,
-            ),
-            Property::always(
-                "a message that must not run twice never does",
-                |worlds: &Worlds, state: &State| worlds.repeat == Repeat::Harmless || state.ran <= 1,
+                "a non-idempotent message runs at most once",
+                |model: &AttemptModel, state: &State| {
+                    model.retry_effect == RetryEffect::Harmless || state.runs <= 1
+                },
             ),
-            Property::always("only what has ended is forgotten", |_: &Worlds, state: &State| {
-                state.end != Some(End::Forgotten) || state.ended
+            Property::always("only ended messages are discarded", |_: &AttemptModel, state: &State| {
+                state.end != Some(End::Discarded) || state.ended
             }),
-            Property::always("what is known delivered is not reported", |_: &Worlds, state: &State| {
+            Property::always("no delivered message is reported", |_: &AttemptModel, state: &State| {
                 !state.reported_delivered
             }),
-            Property::sometimes("a message is forgotten", |_: &Worlds, state: &State| {
-                state.end == Some(End::Forgotten)
+            Property::sometimes("a message is discarded", |_: &AttemptModel, state: &State| {
+                state.end == Some(End::Discarded)
             }),
-            Property::sometimes("a message is reported", |_: &Worlds, state: &State| {
+            Property::sometimes("a message is reported", |_: &AttemptModel, state: &State| {
                 state.end == Some(End::Reported)
             }),
         ]
     }
 }
 
-fn all() -> impl Iterator<Item = Worlds> {
-    let repeats = [Repeat::Harmless, Repeat::Harmful].into_iter();
+fn all_models() -> impl Iterator<Item = AttemptModel> {
+    let retry_effects = [RetryEffect::Harmless, RetryEffect::Harmful].into_iter();
     let connections = [(Position::First, false), (Position::Later, false), (Position::Later, true)];
-    repeats.flat_map(move |repeat| {
-        connections.map(|(position, copies)| Worlds { repeat, position, copies, broken: None })
+    retry_effects.flat_map(move |retry_effect| {
+        connections.map(|(position, copies)| AttemptModel { retry_effect, position, copies, removed: None })
     })
 }
 
 #[test]
-fn no_end_that_was_heard_is_sent_on_ran_twice_or_forgotten_wrongly_in_any_order_of_steps() {
-    for worlds in all() {
-        let checked = worlds.checker().spawn_bfs().join();
-        println!("{worlds:?}: {} states", checked.unique_state_count());
+fn properties_hold_in_every_sequence_of_steps() {
+    for model in all_models() {
+        let checked = model.checker().spawn_bfs().join();
+        println!("{model:?}: {} states", checked.unique_state_count());
         assert!(checked.unique_state_count() > 500);
         checked.assert_properties();
     }
 }
 
-fn found(broken: Break) -> Vec<&'static str> {
-    let mut found: Vec<&'static str> = all()
-        .flat_map(|worlds| {
-            let worlds = Worlds { broken: Some(broken), ..worlds };
-            worlds.checker().spawn_bfs().join().discoveries().into_keys().collect::<Vec<_>>()
+fn violated_properties(removed: Safeguard) -> Vec<&'static str> {
+    let mut violated: Vec<&'static str> = all_models()
+        .flat_map(|model| {
+            let model = AttemptModel { removed: Some(removed), ..model };
+            model.checker().spawn_bfs().join().discoveries().into_keys().collect::<Vec<_>>()
         })
         .filter(|property| !property.starts_with("a message is "))
         .collect();
-    found.sort_unstable();
-    found.dedup();
-    found
+    violated.sort_unstable();
+    violated.dedup();
+    violated
 }
 
 #[test]
-fn each_guard_that_is_taken_out_is_found() {
-    assert_eq!(found(Break::NotesLate), ["nothing is sent on after an end that was heard"]);
-    assert_eq!(found(Break::RefusesOver), ["nothing is sent on after an end that was heard"]);
-    assert_eq!(found(Break::NoSuspicion), ["only what has ended is forgotten"]);
+fn a_violation_is_found_for_each_removed_safeguard() {
+    assert_eq!(violated_properties(Safeguard::EarlyStore), ["no call is sent after a received end"]);
+    assert_eq!(
+        violated_properties(Safeguard::EndedElsewhereIsNoRefusal),
+        ["no call is sent after a received end"]
+    );
+    assert_eq!(violated_properties(Safeguard::CopySuspicion), ["only ended messages are discarded"]);
 }
--- a/crates/verdict/tests/reuse.rs
+++ b/crates/verdict/tests/reuse.rs
@@ -1,130 +1,137 @@
-//! The reuse of connections, played as a model: copies of answers come at any time, and calls take any time.
+//! Simulation of connection reuse: copies of answers arrive at any time, and calls take any time.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
-use verdict::reuse::{FIRST_WITHHOLD, MAX_QUIET, MAX_WITHHOLD, MIN_QUIET, REST, ReusePolicy};
-use verdict::{Extent, Heard, Micros, Position, Repeat, StatusClass};
+use verdict::reuse::{
+    FIRST_WITHHOLD_US, MAX_QUIET_US, MAX_WITHHOLD_US, MIN_QUIET_US, MIN_REST_US, ReusePolicy,
+};
+use verdict::{Extent, Micros, Position, ReceivedAnswer, RetryEffect, StatusClass};
 
 const MS: Micros = 1_000;
 
-/// A call, as the endpoint would answer it on a connection of its own.
+/// A call, and how the endpoint would answer it on a separate connection.
 #[derive(Clone, Debug)]
 struct Call {
-    repeat: Repeat,
+    retry_effect: RetryEffect,
     answer: StatusClass,
-    takes: Micros,
-    /// How long after its answer copies of that come.
+    duration: Micros,
+    /// Delays after the answer at which copies of it arrive, in microseconds.
     copies: Vec<Micros>,
-    /// How long after the connection became usable it is sent.
+    /// Time between the connection's end of rest and the call, in microseconds.
     pause: Micros,
 }
 
-/// What the relay took for the outcome of a call.
+/// What the relay accepts as the outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Verdict {
-    Taken(StatusClass),
+enum CallOutcome {
+    Accepted(StatusClass),
     Doubtful,
 }
 
-/// A connection that is played, and what was made of its calls.
+/// A simulated connection, and the outcomes of its calls.
 #[derive(Debug, Default)]
-struct Played {
-    verdicts: Vec<Verdict>,
-    /// Calls whose answers are not settled.
+struct SimulatedConnection {
+    outcomes: Vec<CallOutcome>,
+    /// Indices of the calls whose answers are not settled.
     unsettled: Vec<usize>,
-    /// Until when it is watched for them.
-    until: Micros,
-    /// What will come: when and what.
-    coming: Vec<(Micros, StatusClass)>,
-    /// When the own answers of its calls came.
-    own: Vec<Micros>,
-    /// The own answer of a call had not come when the watch for it was over.
+    /// Time until which the connection is watched for them.
+    watched_until: Micros,
+    /// Time and status class of the answers and copies still to arrive.
+    pending_arrivals: Vec<(Micros, StatusClass)>,
+    /// Times at which the calls' own answers arrive.
+    own_answers: Vec<Micros>,
+    /// The own answer of a call had not arrived when the watch for it ended.
     outlasted: bool,
     closed: bool,
 }
 
-impl Played {
-    /// Nothing is out on the connection until then: it breaks if something comes, else what is due by then settles.
+impl SimulatedConnection {
+    /// No call is in flight until this time: the connection closes if data arrives, otherwise due answers settle.
     fn rest(&mut self, until: Micros) {
-        if self.coming.iter().any(|(at, _)| *at <= until) {
+        if self.pending_arrivals.iter().any(|(at, _)| *at <= until) {
             return self.close();
         }
         self.settle(until);
     }
 
-    /// What is due by then settles, as nothing came.
+    /// Settles the answers that are due by this time, as nothing arrived.
     fn settle(&mut self, by: Micros) {
-        if self.until <= by && !self.unsettled.is_empty() {
+        if self.watched_until <= by && !self.unsettled.is_empty() {
             self.unsettled.clear();
-            self.outlasted |= self.own.iter().any(|at| *at > self.until);
+            self.outlasted |= self.own_answers.iter().any(|at| *at > self.watched_until);
         }
     }
 
     fn close(&mut self) {
         self.closed = true;
         for call in self.unsettled.drain(..) {
-            self.verdicts[call] = Verdict::Doubtful;
+            self.outcomes[call] = CallOutcome::Doubtful;
         }
     }
 }
 
-/// Plays calls on one connection until it is closed.
-fn play(policy: &mut ReusePolicy<u8>, calls: &[Call]) -> Played {
-    let (mut played, mut now) = (Played::default(), 0);
+/// Simulates calls on one connection until it is closed.
+fn simulate(policy: &mut ReusePolicy<u8>, calls: &[Call]) -> SimulatedConnection {
+    let (mut connection, mut now) = (SimulatedConnection::default(), 0);
     for (carried, call) in (0..).zip(calls) {
-        let sent = now + REST + call.pause;
-        played.rest(sent);
-        if played.closed {
+        let sent = now + MIN_REST_US + call.pause;
+        connection.rest(sent);
+        if connection.closed {
             break;
         }
-        let own_at = sent + call.takes;
-        played.own.push(own_at);
-        played.coming.push((own_at, call.answer));
-        played.coming.extend(call.copies.iter().map(|late| (own_at + late, call.answer)));
-        played.coming.sort_by_key(|(at, _)| *at);
-        let (at, kind) = played.coming.remove(0);
+        let own_at = sent + call.duration;
+        connection.own_answers.push(own_at);
+        connection.pending_arrivals.push((own_at, call.answer));
+        connection.pending_arrivals.extend(call.copies.iter().map(|delay| (own_at + delay, call.answer)));
+        connection.pending_arrivals.sort_by_key(|(at, _)| *at);
+        let (at, class) = connection.pending_arrivals.remove(0);
         now = at;
-        // Nothing came until then, though the call was out.
-        played.settle(at - 1);
-        played.verdicts.push(Verdict::Taken(kind));
-        let extent = Extent::Whole(kind);
-        let heard = Heard { written: true, extent, position: Position::after(carried), ..Heard::default() };
-        if !heard.settles() {
-            policy.answered(&0, at - sent, at);
-        } else if heard.closes_at_once(call.repeat) && played.unsettled.is_empty() {
-            played.close();
+        // Nothing arrived until then, while the call was in flight.
+        connection.settle(at - 1);
+        connection.outcomes.push(CallOutcome::Accepted(class));
+        let extent = Extent::Complete(class);
+        let received = ReceivedAnswer {
+            request_written: true,
+            extent,
+            position: Position::after_calls(carried),
+            ..ReceivedAnswer::default()
+        };
+        if !received.needs_settling() {
+            policy.record_answer_time(&0, at - sent, at);
+        } else if received.closes_immediately(call.retry_effect) && connection.unsettled.is_empty() {
+            connection.close();
         } else {
-            played.until = played.until.max(policy.quiet_until(&0, sent, at));
-            played.unsettled.push(played.verdicts.len() - 1);
+            connection.watched_until = connection.watched_until.max(policy.quiet_until(&0, sent, at));
+            connection.unsettled.push(connection.outcomes.len() - 1);
         }
-        if !kind.carries_more() {
+        if !class.allows_reuse() {
             break;
         }
     }
-    played.rest(played.until);
-    played.closed = true;
-    played
+    connection.rest(connection.watched_until);
+    connection.closed = true;
+    connection
 }
 
-fn repeat() -> impl Strategy<Value = Repeat> {
-    prop_oneof![Just(Repeat::Harmless), Just(Repeat::Harmful)]
+fn retry_effect() -> impl Strategy<Value = RetryEffect> {
+    prop_oneof![Just(RetryEffect::Harmless), Just(RetryEffect::Harmful)]
 }
 
 fn answer() -> impl Strategy<Value = StatusClass> {
     prop_oneof![
         4 => Just(StatusClass::Delivered),
-        1 => Just(StatusClass::Over),
-        1 => Just(StatusClass::TurnedAway),
+        1 => Just(StatusClass::EndedElsewhere),
+        1 => Just(StatusClass::Refused),
         1 => Just(StatusClass::Failed),
     ]
 }
 
 prop_compose! {
     fn call()(
-        repeat in repeat(), answer in answer(), takes in 1..3_000 * MS,
+        retry_effect in retry_effect(), answer in answer(), duration in 1..3_000 * MS,
         copies in vec(1..2_000 * MS, 0..3), pause in 0..500 * MS,
     ) -> Call {
-        Call { repeat, answer, takes, copies, pause }
+        Call { retry_effect, answer, duration, copies, pause }
     }
 }
 
@@ -132,80 +139,82 @@
     #![proptest_config(ProptestConfig { cases: 4096, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_copy_is_taken_for_an_answer_only_where_a_calls_own_answer_outlasts_the_watch(calls in vec(call(), 1..8)) {
-        let played = play(&mut ReusePolicy::new(), &calls);
-        for (call, verdict) in calls.iter().zip(&played.verdicts) {
-            let matters = match verdict {
-                Verdict::Taken(StatusClass::TurnedAway) => call.repeat == Repeat::Harmful,
-                Verdict::Taken(StatusClass::Failed) | Verdict::Doubtful => false,
-                Verdict::Taken(_) => true,
+    fn copy_is_accepted_only_if_the_calls_own_answer_outlasts_the_watch(calls in vec(call(), 1..8)) {
+        let connection = simulate(&mut ReusePolicy::new(), &calls);
+        for (call, outcome) in calls.iter().zip(&connection.outcomes) {
+            let matters = match outcome {
+                CallOutcome::Accepted(StatusClass::Refused) => call.retry_effect == RetryEffect::Harmful,
+                CallOutcome::Accepted(StatusClass::Failed) | CallOutcome::Doubtful => false,
+                CallOutcome::Accepted(_) => true,
             };
-            if matters && *verdict != Verdict::Taken(call.answer) {
-                prop_assert!(played.outlasted);
+            if matters && *outcome != CallOutcome::Accepted(call.answer) {
+                prop_assert!(connection.outlasted);
             }
         }
     }
 
     #[test]
-    fn no_copy_is_taken_for_a_refusal_before_a_calls_own_answer_has_outlasted_the_watch(
+    fn no_copy_is_accepted_as_a_refusal_if_each_call_ends_before_the_next_is_sent(
         calls in vec(call(), 1..8), copies in vec(1..60_000 * MS, 1..3),
     ) {
-        // Only the first answer has copies, as late as it may be, and each call ends before the next is sent.
+        // Only the first answer has copies, with any delay, and each call ends before the next is sent.
         let mut calls = calls;
         for call in &mut calls {
             call.copies.clear();
-            call.takes = call.takes.min(REST);
+            call.duration = call.duration.min(MIN_REST_US);
         }
         calls[0].copies = copies;
-        let played = play(&mut ReusePolicy::new(), &calls);
-        for (call, verdict) in calls.iter().zip(&played.verdicts) {
-            if *verdict == Verdict::Taken(StatusClass::TurnedAway) && call.repeat == Repeat::Harmful {
-                prop_assert_eq!(call.answer, StatusClass::TurnedAway);
+        let connection = simulate(&mut ReusePolicy::new(), &calls);
+        for (call, outcome) in calls.iter().zip(&connection.outcomes) {
+            if *outcome == CallOutcome::Accepted(StatusClass::Refused) && call.retry_effect == RetryEffect::Harmful {
+                prop_assert_eq!(call.answer, StatusClass::Refused);
             }
         }
     }
 }
 
 #[test]
-fn an_answer_settles_once_its_endpoint_would_have_answered_within_bounds() {
+fn quiet_time_follows_the_endpoints_answer_times_within_bounds() {
     let mut policy = ReusePolicy::new();
-    assert_eq!(policy.quiet_until(&0, 0, 10 * MS), 10 * MS + MIN_QUIET, "nothing is known yet");
-    (0..100).for_each(|n| policy.answered(&0, 300 * MS, n));
+    assert_eq!(policy.quiet_until(&0, 0, 10 * MS), 10 * MS + MIN_QUIET_US, "no answer time is known yet");
+    (0..100).for_each(|n| policy.record_answer_time(&0, 300 * MS, n));
     let usual = policy.quiet_until(&0, 0, 10 * MS);
-    assert!((300 * MS..350 * MS).contains(&usual), "its own answer would have come by {usual}");
-    assert_eq!(policy.quiet_until(&0, 0, 300 * MS), 300 * MS + MIN_QUIET);
-    (0..100).for_each(|n| policy.answered(&0, 30_000 * MS, n));
-    assert_eq!(policy.quiet_until(&0, 0, 10 * MS), 10 * MS + MAX_QUIET);
-    assert_eq!(policy.quiet_until(&1, 0, 10 * MS), 10 * MS + MIN_QUIET, "another endpoint");
+    assert!((300 * MS..350 * MS).contains(&usual), "the call's own answer would have arrived by {usual}");
+    assert_eq!(policy.quiet_until(&0, 0, 300 * MS), 300 * MS + MIN_QUIET_US);
+    (0..100).for_each(|n| policy.record_answer_time(&0, 30_000 * MS, n));
+    assert_eq!(policy.quiet_until(&0, 0, 10 * MS), 10 * MS + MAX_QUIET_US);
+    assert_eq!(policy.quiet_until(&1, 0, 10 * MS), 10 * MS + MIN_QUIET_US, "another endpoint");
 }
 
 #[test]
-fn an_endpoint_that_shows_a_surplus_loses_reuse_for_a_while_that_doubles() {
+fn unsolicited_data_withholds_reuse_for_a_time_that_doubles() {
     let mut policy = ReusePolicy::new();
-    policy.surplus(&0, 0);
-    assert!(policy.withholds(&0, FIRST_WITHHOLD - 1) && !policy.withholds(&0, FIRST_WITHHOLD));
-    assert!(!policy.withholds(&1, 0), "one endpoint alone");
-    // More of the same trouble does not double.
-    policy.surplus(&0, FIRST_WITHHOLD - 1);
-    assert!(!policy.withholds(&0, 2 * FIRST_WITHHOLD));
-    let mut now = 2 * FIRST_WITHHOLD;
+    policy.record_unsolicited_data(&0, 0);
+    assert!(policy.is_withheld(&0, FIRST_WITHHOLD_US - 1) && !policy.is_withheld(&0, FIRST_WITHHOLD_US));
+    assert!(!policy.is_withheld(&1, 0), "other endpoints are not affected");
+    // More unsolicited data within the same period does not double it.
+    policy.record_unsolicited_data(&0, FIRST_WITHHOLD_US - 1);
+    assert!(!policy.is_withheld(&0, 2 * FIRST_WITHHOLD_US));
+    let mut now = 2 * FIRST_WITHHOLD_US;
     for _ in 0..20 {
-        policy.surplus(&0, now);
-        let until = (now..).step_by(FIRST_WITHHOLD as usize).find(|at| !policy.withholds(&0, *at));
+        policy.record_unsolicited_data(&0, now);
+        let until = (now..).step_by(FIRST_WITHHOLD_US as usize).find(|at| !policy.is_withheld(&0, *at));
         now = until.expect("an end");
     }
-    policy.surplus(&0, now);
-    assert!(policy.withholds(&0, now + MAX_WITHHOLD - 1) && !policy.withholds(&0, now + MAX_WITHHOLD));
-    let quiet = now + 3 * MAX_WITHHOLD;
-    policy.surplus(&0, quiet);
-    assert!(!policy.withholds(&0, quiet + FIRST_WITHHOLD), "long ago");
+    policy.record_unsolicited_data(&0, now);
+    assert!(
+        policy.is_withheld(&0, now + MAX_WITHHOLD_US - 1) && !policy.is_withheld(&0, now + MAX_WITHHOLD_US)
+    );
+    let quiet = now + 3 * MAX_WITHHOLD_US;
+    policy.record_unsolicited_data(&0, quiet);
+    assert!(!policy.is_withheld(&0, quiet + FIRST_WITHHOLD_US), "the last period is too long ago to double");
 }
 
 #[test]
-fn endpoints_that_show_a_surplus_together_have_one_cause_and_all_lose_reuse() {
+fn unsolicited_data_from_several_endpoints_withholds_reuse_for_all() {
     let mut policy = ReusePolicy::new();
-    policy.surplus(&0, 0);
-    policy.surplus(&1, 5);
-    assert!(policy.withholds(&7, 6), "one that has shown nothing");
-    assert!(!policy.withholds(&7, 5 + FIRST_WITHHOLD));
+    policy.record_unsolicited_data(&0, 0);
+    policy.record_unsolicited_data(&1, 5);
+    assert!(policy.is_withheld(&7, 6), "an endpoint without unsolicited data of its own");
+    assert!(!policy.is_withheld(&7, 5 + FIRST_WITHHOLD_US));
 }
--- a/crates/verdict/tests/verdicts.rs
+++ b/crates/verdict/tests/verdicts.rs
@@ -1,10 +1,14 @@
-//! The table of statuses and verdicts: every combination allows only what is right in every world, and the rows of the protocol.
+//! Table of statuses and decisions: each combination allows only actions that are correct in every possible state, and each
+//! status gives the decision that the protocol defines.
 
-use verdict::{Action, After, Extent, Heard, Position, Repeat, StatusClass, Verdict, World, Worlds};
+use verdict::{
+    Action, CallState, Decision, Extent, Position, PossibleStates, ReceivedAnswer, RetryEffect, Settlement,
+    StatusClass,
+};
 
-const OWED: Verdict = Verdict::Owed { may_have_run: true };
-const NEVER_RAN: Verdict = Verdict::Owed { may_have_run: false };
-const SPENT: Verdict = Verdict::Spent { may_have_run: false };
+const MAY_HAVE_RUN: Decision = Decision::Pending { may_have_run: true };
+const NEVER_RAN: Decision = Decision::Pending { may_have_run: false };
+const ATTEMPTS_EXHAUSTED: Decision = Decision::AttemptsExhausted { may_have_run: false };
 
 fn extents() -> Vec<Extent> {
     let parts = (0..=12).flat_map(|length| {
@@ -16,20 +20,28 @@
             "HTTP/1.1 500",
             "garbage that is none",
         ]
-        .map(|line| Extent::of_part(&line.as_bytes()[..length]))
+        .map(|line| Extent::from_partial(&line.as_bytes()[..length]))
     });
     let lines =
-        StatusClass::ALL.into_iter().flat_map(|class| [Extent::FirstLine(class), Extent::Whole(class)]);
-    parts.chain(lines).chain([Extent::Nothing, Extent::Unreadable]).collect()
+        StatusClass::ALL.into_iter().flat_map(|class| [Extent::StatusLine(class), Extent::Complete(class)]);
+    parts.chain(lines).chain([Extent::Nothing, Extent::Malformed]).collect()
 }
 
-fn every_heard() -> Vec<Heard> {
+fn all_received_answers() -> Vec<ReceivedAnswer> {
     let mut all = Vec::new();
     for extent in extents() {
         for position in [Position::First, Position::Later] {
-            for after in [After::Ended, After::Settled, After::Surplus] {
-                for (written, suspect) in [(true, true), (true, false), (false, true), (false, false)] {
-                    all.push(Heard { written, extent, position, after, suspect });
+            for settlement in [Settlement::Unsettled, Settlement::Settled, Settlement::UnsolicitedData] {
+                for (request_written, copy_suspected) in
+                    [(true, true), (true, false), (false, true), (false, false)]
+                {
+                    all.push(ReceivedAnswer {
+                        request_written,
+                        extent,
+                        position,
+                        settlement,
+                        copy_suspected,
+                    });
                 }
             }
         }
@@ -38,117 +50,133 @@
 }
 
 #[test]
-fn every_verdict_allows_only_what_is_right_in_every_world_that_is_left() {
-    for heard in every_heard() {
-        for action in [Action::Forget, Action::Report, Action::SendAgain] {
-            for repeat in [Repeat::Harmless, Repeat::Harmful] {
-                let allowed = heard.verdict().allows(action, repeat);
+fn each_decision_allows_only_actions_that_are_correct_in_every_possible_state() {
+    for received in all_received_answers() {
+        for action in [Action::Discard, Action::Report, Action::Retry] {
+            for retry_effect in [RetryEffect::Harmless, RetryEffect::Harmful] {
+                let allowed = received.decision().allows(action, retry_effect);
                 assert!(
-                    !allowed || heard.worlds().allow(action, repeat),
-                    "{heard:?}: {action:?}, {repeat:?}"
+                    !allowed || received.possible_states().allows(action, retry_effect),
+                    "{received:?}: {action:?}, {retry_effect:?}"
                 );
             }
         }
-        assert!(World::ALL.into_iter().any(|world| heard.worlds().contains(world)), "{heard:?}");
+        assert!(
+            CallState::ALL.into_iter().any(|state| received.possible_states().contains(state)),
+            "{received:?}"
+        );
     }
 }
 
 #[test]
-fn what_may_be_over_is_never_sent_again_whatever_is_in_doubt() {
-    for heard in every_heard() {
-        let may_be_over = heard.worlds().contains(World::Over) || heard.worlds().contains(World::Delivered);
-        if may_be_over {
-            assert!(!heard.verdict().owed(), "{heard:?}");
+fn message_that_may_have_ended_is_never_sent_again() {
+    for received in all_received_answers() {
+        let may_have_ended = received.possible_states().contains(CallState::EndedElsewhere)
+            || received.possible_states().contains(CallState::Delivered);
+        if may_have_ended {
+            assert!(!received.decision().is_pending(), "{received:?}");
         }
     }
 }
 
-fn verdict(extent: Extent, position: Position, after: After, suspect: bool) -> Verdict {
-    Heard { written: true, extent, position, after, suspect }.verdict()
+fn decision(extent: Extent, position: Position, settlement: Settlement, copy_suspected: bool) -> Decision {
+    ReceivedAnswer { request_written: true, extent, position, settlement, copy_suspected }.decision()
 }
 
 #[test]
-fn a_whole_answer_says_what_the_protocol_says_of_its_status() {
+fn complete_answer_gives_the_decision_that_the_protocol_defines_for_its_status() {
     for (status, expected) in [
-        (200, Verdict::Delivered),
-        (204, Verdict::MayHaveEnded),
-        (400, OWED),
-        (410, Verdict::Over),
+        (200, Decision::Delivered),
+        (204, Decision::MayHaveEnded),
+        (400, MAY_HAVE_RUN),
+        (410, Decision::EndedElsewhere),
         (429, NEVER_RAN),
-        (500, OWED),
+        (500, MAY_HAVE_RUN),
         (503, NEVER_RAN),
-        (504, SPENT),
-        (599, OWED),
+        (504, ATTEMPTS_EXHAUSTED),
+        (599, MAY_HAVE_RUN),
     ] {
-        let class = StatusClass::of(status).expect("a final status");
-        let after = After::Ended;
-        assert_eq!(verdict(Extent::Whole(class), Position::First, after, false), expected, "{status}");
-        let settled = verdict(Extent::Whole(class), Position::Later, After::Settled, true);
+        let class = StatusClass::from_status(status).expect("a final status");
+        let settlement = Settlement::Unsettled;
+        assert_eq!(
+            decision(Extent::Complete(class), Position::First, settlement, false),
+            expected,
+            "{status}"
+        );
+        let settled = decision(Extent::Complete(class), Position::Later, Settlement::Settled, true);
         assert_eq!(settled, expected, "{status}");
-        let followed = verdict(Extent::Whole(class), Position::Later, After::Surplus, false);
-        assert_eq!(followed, Verdict::MayHaveEnded, "{status}");
+        let followed = decision(Extent::Complete(class), Position::Later, Settlement::UnsolicitedData, false);
+        assert_eq!(followed, Decision::MayHaveEnded, "{status}");
     }
     for status in [0, 100, 199, 600, u16::MAX] {
-        assert_eq!(StatusClass::of(status), None, "{status}");
+        assert_eq!(StatusClass::from_status(status), None, "{status}");
     }
 }
 
 #[test]
-fn an_end_of_the_connection_leaves_an_answer_its_own_unless_its_endpoint_wrote_unasked_lately() {
+fn unsettled_answer_counts_unless_its_endpoint_sent_unsolicited_data_recently() {
     for (class, unsuspected, suspected) in [
-        (StatusClass::Delivered, Verdict::Delivered, Verdict::MayHaveEnded),
-        (StatusClass::Over, Verdict::MayHaveEnded, Verdict::MayHaveEnded),
-        (StatusClass::TurnedAway, NEVER_RAN, OWED),
-        (StatusClass::Failed, OWED, OWED),
-        (StatusClass::Spent, SPENT, Verdict::Spent { may_have_run: true }),
+        (StatusClass::Delivered, Decision::Delivered, Decision::MayHaveEnded),
+        (StatusClass::EndedElsewhere, Decision::MayHaveEnded, Decision::MayHaveEnded),
+        (StatusClass::Refused, NEVER_RAN, MAY_HAVE_RUN),
+        (StatusClass::Failed, MAY_HAVE_RUN, MAY_HAVE_RUN),
+        (
+            StatusClass::AttemptsExhausted,
+            ATTEMPTS_EXHAUSTED,
+            Decision::AttemptsExhausted { may_have_run: true },
+        ),
     ] {
-        let ended = |suspect| verdict(Extent::Whole(class), Position::Later, After::Ended, suspect);
-        assert_eq!((ended(false), ended(true)), (unsuspected, suspected), "{class:?}");
+        let unsettled = |copy_suspected| {
+            decision(Extent::Complete(class), Position::Later, Settlement::Unsettled, copy_suspected)
+        };
+        assert_eq!((unsettled(false), unsettled(true)), (unsuspected, suspected), "{class:?}");
     }
 }
 
 #[test]
-fn a_part_of_a_first_line_leaves_what_each_status_that_it_may_have_says() {
+fn partial_status_line_leaves_the_states_of_every_status_that_it_may_have() {
     for (bytes, expected) in [
-        ("", OWED),
-        ("H", Verdict::MayHaveEnded),
-        ("HTTP/1.1 ", Verdict::MayHaveEnded),
-        ("HTTP/1.1 2", Verdict::MayHaveEnded),
-        ("HTTP/1.1 41", Verdict::MayHaveEnded),
-        ("HTTP/1.0 410 Gone", Verdict::MayHaveEnded),
-        ("HTTP/1.1 404", OWED),
-        ("HTTP/1.1 42", OWED),
-        ("HTTP/1.1 50", Verdict::Spent { may_have_run: true }),
-        ("HTTP/1.1 503 Serv", OWED),
-        ("HTTP/1.1 100 Continue\r\n", OWED),
-        ("HTTP/1.1 4100", Verdict::MayHaveEnded),
-        ("SSH-2.0", Verdict::MayHaveEnded),
+        ("", MAY_HAVE_RUN),
+        ("H", Decision::MayHaveEnded),
+        ("HTTP/1.1 ", Decision::MayHaveEnded),
+        ("HTTP/1.1 2", Decision::MayHaveEnded),
+        ("HTTP/1.1 41", Decision::MayHaveEnded),
+        ("HTTP/1.0 410 Gone", Decision::MayHaveEnded),
+        ("HTTP/1.1 404", MAY_HAVE_RUN),
+        ("HTTP/1.1 42", MAY_HAVE_RUN),
+        ("HTTP/1.1 50", Decision::AttemptsExhausted { may_have_run: true }),
+        ("HTTP/1.1 503 Serv", MAY_HAVE_RUN),
+        ("HTTP/1.1 100 Continue\r\n", MAY_HAVE_RUN),
+        ("HTTP/1.1 4100", Decision::MayHaveEnded),
+        ("SSH-2.0", Decision::MayHaveEnded),
     ] {
-        let found = verdict(Extent::of_part(bytes.as_bytes()), Position::First, After::Ended, false);
+        let found =
+            decision(Extent::from_partial(bytes.as_bytes()), Position::First, Settlement::Unsettled, false);
         assert_eq!(found, expected, "{bytes:?}");
     }
 }
 
 #[test]
-fn a_request_that_did_not_go_out_whole_never_ran_unless_its_answer_says_that_the_message_had_ended() {
+fn partially_written_request_never_ran_unless_its_answer_says_that_the_message_had_ended() {
     for (extent, expected) in [
         (Extent::Nothing, NEVER_RAN),
-        (Extent::Whole(StatusClass::TurnedAway), NEVER_RAN),
-        (Extent::Whole(StatusClass::Failed), NEVER_RAN),
-        (Extent::FirstLine(StatusClass::Over), Verdict::MayHaveEnded),
-        (Extent::Whole(StatusClass::Delivered), Verdict::MayHaveEnded),
-        (Extent::Whole(StatusClass::Spent), SPENT),
+        (Extent::Complete(StatusClass::Refused), NEVER_RAN),
+        (Extent::Complete(StatusClass::Failed), NEVER_RAN),
+        (Extent::StatusLine(StatusClass::EndedElsewhere), Decision::MayHaveEnded),
+        (Extent::Complete(StatusClass::Delivered), Decision::MayHaveEnded),
+        (Extent::Complete(StatusClass::AttemptsExhausted), ATTEMPTS_EXHAUSTED),
     ] {
-        let heard = Heard { written: false, extent, ..Heard::default() };
-        assert_eq!(heard.verdict(), expected, "{extent:?}");
+        let received = ReceivedAnswer { request_written: false, extent, ..ReceivedAnswer::default() };
+        assert_eq!(received.decision(), expected, "{extent:?}");
     }
 }
 
 #[test]
-fn a_set_of_worlds_is_what_it_was_made_of() {
-    let some = Worlds::of(&[World::Ran, World::Over]);
-    let held: Vec<World> = World::ALL.into_iter().filter(|world| some.contains(*world)).collect();
-    assert_eq!(held, [World::Ran, World::Over]);
-    assert_eq!(some.and(Worlds::UNANSWERED), Worlds::of(&[World::Ran]));
-    assert_eq!(some.or(Worlds::ALL), Worlds::ALL);
+fn set_operations_on_possible_states() {
+    let some = PossibleStates::of(&[CallState::Ran, CallState::EndedElsewhere]);
+    let contained: Vec<CallState> =
+        CallState::ALL.into_iter().filter(|state| some.contains(*state)).collect();
+    assert_eq!(contained, [CallState::Ran, CallState::EndedElsewhere]);
+    assert_eq!(some.intersection(PossibleStates::UNANSWERED), PossibleStates::of(&[CallState::Ran]));
+    assert_eq!(some.union(PossibleStates::ALL), PossibleStates::ALL);
 }
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -11,7 +11,7 @@
 
 pub use crate::clock::Clock;
 
-use crate::interface::{Effect, Micros, Outcome, Report, TargetId, Verdict};
+use crate::interface::{Decision, Effect, Micros, Outcome, Report, TargetId};
 use crate::wire::RawEntry;
 
 /// The key by which a destination recognises the repeats of a message of a keyed class. It is passed on unchanged.
@@ -156,7 +156,7 @@
     /// Which attempt.
     pub attempt: u32,
     /// What it means for the message if nothing more comes.
-    pub verdict: Verdict,
+    pub verdict: Decision,
 }
 
 /// How an attempt ended.
@@ -172,7 +172,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// What that means for the message.
-    pub verdict: Verdict,
+    pub verdict: Decision,
     /// When it was sent.
     pub began: Micros,
     /// When its whole answer had come, if one did.
@@ -192,7 +192,7 @@
     outcome: Outcome,
     over: bool,
     #[serde(default)]
-    verdict: Option<Verdict>,
+    verdict: Option<Decision>,
     began: Micros,
     #[serde(default)]
     answered: Option<Micros>,
@@ -204,7 +204,7 @@
     fn from(end: WrittenCallEnd) -> Self {
         let WrittenCallEnd { id, attempt, target, outcome, over, verdict, began, answered, report, evidence } =
             end;
-        let verdict = verdict.unwrap_or(if over { Verdict::Over } else { outcome.verdict() });
+        let verdict = verdict.unwrap_or(if over { Decision::EndedElsewhere } else { outcome.verdict() });
         CallEnd { id, attempt, target, outcome, verdict, began, answered, report, evidence }
     }
 }
@@ -212,7 +212,7 @@
 impl From<CallEnd> for WrittenCallEnd {
     fn from(end: CallEnd) -> Self {
         let CallEnd { id, attempt, target, outcome, verdict, began, answered, report, evidence } = end;
-        let (over, verdict) = (verdict.ended(), Some(verdict));
+        let (over, verdict) = (verdict.is_ended(), Some(verdict));
         WrittenCallEnd { id, attempt, target, outcome, over, verdict, began, answered, report, evidence }
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
-pub use verdict::Verdict;
+pub use verdict::Decision;
 
 /// A time of the caller's clock, or a span of it, in microseconds.
 pub type Micros = i64;
@@ -333,10 +333,10 @@
     }
 
     /// What it means for its message where nothing else is known of the attempt.
-    pub fn verdict(self) -> Verdict {
+    pub fn verdict(self) -> Decision {
         match self {
-            Outcome::Ok => Verdict::Delivered,
-            outcome => Verdict::Owed { may_have_run: outcome.may_have_run() },
+            Outcome::Ok => Decision::Delivered,
+            outcome => Decision::Pending { may_have_run: outcome.may_have_run() },
         }
     }
 }
@@ -367,7 +367,7 @@
     /// Time since it was sent.
     pub took: Micros,
     /// What that means for the message.
-    pub verdict: Verdict,
+    pub verdict: Decision,
     /// What the destination told of its limit.
     pub report: Report,
 }
--- a/src/net/answer.rs
+++ b/src/net/answer.rs
@@ -4,7 +4,7 @@
 
 use futures_util::FutureExt;
 use futures_util::StreamExt;
-use verdict::{After, Extent, Position, StatusClass};
+use verdict::{Extent, Position, Settlement, StatusClass};
 
 use super::connections::full;
 use super::http::{HttpError, Message, Part};
@@ -79,12 +79,12 @@
             match part {
                 Some(Ok(Part::First(status))) => self.first_line(status),
                 Some(Ok(Part::Head(head))) => {
-                    let refused = self.progress.heard.extent == Extent::FirstLine(StatusClass::TurnedAway);
+                    let refused = self.progress.heard.extent == Extent::StatusLine(StatusClass::Refused);
                     self.progress.wait = full(&head).filter(|_| refused);
                 }
                 Some(Ok(Part::Whole(answer))) => {
-                    if let Extent::FirstLine(class) = self.progress.heard.extent {
-                        self.progress.heard.extent = Extent::Whole(class);
+                    if let Extent::StatusLine(class) = self.progress.heard.extent {
+                        self.progress.heard.extent = Extent::Complete(class);
                     }
                     return Ok(answer);
                 }
@@ -126,7 +126,7 @@
     fn timed_out(&mut self) -> Option<Ending> {
         let now = self.clock.now();
         if self.untouched() && self.connection.settling.due().is_some_and(|due| due <= now) {
-            self.connection.settling.conclude(After::Settled);
+            self.connection.settling.conclude(Settlement::Settled);
         }
         if now < self.rest_by {
             return None;
@@ -136,13 +136,13 @@
 
     fn first_line(&mut self, status: u16) {
         self.progress.first = Some(status);
-        let Some(class) = StatusClass::of(status) else { return };
-        self.progress.heard.extent = Extent::FirstLine(class);
+        let Some(class) = StatusClass::from_status(status) else { return };
+        self.progress.heard.extent = Extent::StatusLine(class);
         if !self.progress.first_tells() {
             return;
         }
         let now = self.clock.now();
-        let within = if class == StatusClass::TurnedAway { REFUSAL_WITHIN } else { REST_WITHIN };
+        let within = if class == StatusClass::Refused { REFUSAL_WITHIN } else { REST_WITHIN };
         // What may be a part of a copy is watched until the own answer would have come.
         let watched = if self.progress.heard.position == Position::Later { self.quiet_until } else { now };
         let rest_by = (now + within).max(watched);
@@ -158,11 +158,11 @@
             Ending::Closed if nothing => Outcome::Reset,
             Ending::Malformed => {
                 if self.progress.first.is_none() {
-                    self.progress.heard.extent = Extent::Unreadable;
+                    self.progress.heard.extent = Extent::Malformed;
                 }
                 // Two answers that run into each other look so.
-                self.progress.heard.after = After::Surplus;
-                self.connection.settling.conclude(After::Surplus);
+                self.progress.heard.settlement = Settlement::UnsolicitedData;
+                self.connection.settling.conclude(Settlement::UnsolicitedData);
                 Outcome::Spoilt
             }
             Ending::Closed | Ending::Stalled => Outcome::Spoilt,
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -11,8 +11,8 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio_util::codec::Framed;
 use tracing::{debug, warn};
-use verdict::reuse::{REST, ReusePolicy};
-use verdict::{After, Extent, Heard, Position, Repeat};
+use verdict::reuse::{MIN_REST_US, ReusePolicy};
+use verdict::{Extent, Position, ReceivedAnswer, RetryEffect, Settlement};
 
 use super::answer::AnswerReader;
 use super::clearance::Clearance;
@@ -69,7 +69,7 @@
 pub struct Answered {
     place: Place,
     connection: Connection,
-    repeat: Repeat,
+    repeat: RetryEffect,
     sent: Micros,
     at: Micros,
     answer: Message,
@@ -89,16 +89,16 @@
     }
 
     /// Whether its connection is closed at once. Closed before earlier answers have settled, it would leave them in doubt.
-    fn closes_at_once(&self, heard: &Heard) -> bool {
-        heard.closes_at_once(self.repeat) && self.connection.settling.is_empty()
+    fn closes_at_once(&self, heard: &ReceivedAnswer) -> bool {
+        heard.closes_immediately(self.repeat) && self.connection.settling.is_empty()
     }
 }
 
 /// What a second run of a message does, where it has this effect.
-fn repeat(effect: Effect) -> Repeat {
+fn repeat(effect: Effect) -> RetryEffect {
     match effect {
-        Effect::Safe => Repeat::Harmless,
-        Effect::Keyed { .. } | Effect::Unsafe => Repeat::Harmful,
+        Effect::Safe => RetryEffect::Harmless,
+        Effect::Keyed { .. } | Effect::Unsafe => RetryEffect::Harmful,
     }
 }
 
@@ -110,7 +110,7 @@
     /// Bytes came on a connection that nobody had asked for. Whoever tells this closes it.
     fn surplus(&self, place: &Place, connection: &Connection, surplus: Surplus, during: &'static str) {
         let now = self.clock.now();
-        self.policy().surplus(place, now);
+        self.policy().record_unsolicited_data(place, now);
         ConnectionCounts::add(&self.counts.surplus);
         let (endpoint, number, calls) = (&*place.0, connection.number, connection.calls);
         let Surplus { bytes, status } = surplus;
@@ -201,10 +201,10 @@
     ) -> Result<Message, Outcome> {
         let answered = self.call(place, call, request, progress, std::future::pending()).await?;
         let answer = self.settle(answered, progress).await;
-        let doubtful = match progress.heard.after {
-            After::Surplus => true,
-            After::Ended => progress.heard.settles() && progress.heard.suspect,
-            After::Settled => false,
+        let doubtful = match progress.heard.settlement {
+            Settlement::UnsolicitedData => true,
+            Settlement::Unsettled => progress.heard.needs_settling() && progress.heard.copy_suspected,
+            Settlement::Settled => false,
         };
         if doubtful { Err(Outcome::Spoilt) } else { Ok(answer) }
     }
@@ -229,7 +229,7 @@
         };
         tokio::pin!(limit);
         let answered = self.exchange(place, call, request, progress, limit).await;
-        progress.heard.suspect = self.suspects(place);
+        progress.heard.copy_suspected = self.suspects(place);
         let answered = answered?;
         progress.answered = Some(answered.at);
         // It binds from now on, however long the answer takes to settle.
@@ -240,13 +240,13 @@
     }
 
     fn suspects(&self, place: &Place) -> bool {
-        self.watch.policy().suspects(place, self.clock.now())
+        self.watch.policy().suspects_copies(place, self.clock.now())
     }
 
     /// Room for the connection of an answer that is still to settle, so that its call need not be counted as one that is out.
     /// `None` where nothing is left to settle, or there is no room.
     pub fn release(&self, answered: &Answered, progress: &Progress) -> Option<OwnedSemaphorePermit> {
-        if !progress.heard.settles() || answered.closes_at_once(&progress.heard) {
+        if !progress.heard.needs_settling() || answered.closes_at_once(&progress.heard) {
             return None;
         }
         self.settling.clone().try_acquire_owned().ok()
@@ -258,8 +258,8 @@
         let closes_at_once = answered.closes_at_once(&progress.heard);
         let Answered { place, mut connection, sent, at, answer, watched_until, .. } = answered;
         connection.closing = !answer.keep_alive;
-        if !progress.heard.settles() {
-            self.watch.policy().answered(&place, at - sent, at);
+        if !progress.heard.needs_settling() {
+            self.watch.policy().record_answer_time(&place, at - sent, at);
             self.rest(&place, connection, at, progress.heard);
             return answer;
         }
@@ -272,24 +272,24 @@
         self.rest(&place, connection, at, progress.heard);
         let by = self.clock.instant(watched_until.saturating_add(SETTLED_WITHIN));
         let after = tokio::time::timeout_at(by, settled).await;
-        progress.heard.after = after.ok().and_then(Result::ok).unwrap_or(After::Ended);
-        progress.heard.suspect = self.suspects(&place);
-        if progress.heard.after == After::Surplus {
+        progress.heard.settlement = after.ok().and_then(Result::ok).unwrap_or(Settlement::Unsettled);
+        progress.heard.copy_suspected = self.suspects(&place);
+        if progress.heard.settlement == Settlement::UnsolicitedData {
             ConnectionCounts::add(&self.watch.counts.doubtful);
         }
         answer
     }
 
     /// What becomes of a connection after an answer that came then.
-    fn rest(&self, place: &Place, mut connection: Connection, at: Micros, heard: Heard) {
+    fn rest(&self, place: &Place, mut connection: Connection, at: Micros, heard: ReceivedAnswer) {
         if !connection.framed.read_buffer().is_empty() {
             let surplus = Surplus::read(connection.framed.read_buffer());
-            connection.settling.conclude(After::Surplus);
+            connection.settling.conclude(Settlement::UnsolicitedData);
             return self.watch.surplus(place, &connection, surplus, "answer");
         }
-        let carries_more = matches!(heard.extent, Extent::Whole(class) if class.carries_more());
-        let carries_more = carries_more && !connection.closing && !self.watch.policy().withholds(place, at);
-        self.keep(place, connection, (at, carries_more.then_some(at + REST)));
+        let carries_more = matches!(heard.extent, Extent::Complete(class) if class.allows_reuse());
+        let carries_more = carries_more && !connection.closing && !self.watch.policy().is_withheld(place, at);
+        self.keep(place, connection, (at, carries_more.then_some(at + MIN_REST_US)));
     }
 
     /// One request and its answer, until `limit` gives it up.
@@ -305,8 +305,8 @@
             connection = self.connection(place, progress) => connection?,
             outcome = &mut limit => return Err(outcome),
         };
-        progress.heard.position = Position::after(connection.calls);
-        progress.heard.suspect = self.suspects(place);
+        progress.heard.position = Position::after_calls(connection.calls);
+        progress.heard.copy_suspected = self.suspects(place);
         (progress.connection, progress.calls_before) = (Some(connection.number), connection.calls);
         progress.rested = self.clock.now() - since;
         let withdrawn = async {
@@ -344,7 +344,7 @@
             let _ = reader.read(given_up).await;
             return Err(outcome);
         }
-        progress.heard.written = true;
+        progress.heard.request_written = true;
         let quiet_until = self.watch.policy().quiet_until(place, sent, sent);
         let reader = AnswerReader::new(self.clock, &mut connection, progress, quiet_until);
         let answer = reader.read(limit).await?;
@@ -420,7 +420,7 @@
     async fn resting(&self, place: &Place) -> Option<(Connection, Micros)> {
         loop {
             let now = self.clock.now();
-            let withheld = self.watch.policy().withholds(place, now);
+            let withheld = self.watch.policy().is_withheld(place, now);
             let taken = self.pool().take(place, now)?;
             if withheld {
                 ConnectionCounts::add(&self.watch.counts.withheld);
--- a/src/net/outbound.rs
+++ b/src/net/outbound.rs
@@ -6,7 +6,7 @@
 use record::model::Expected;
 use tokio::sync::{mpsc, oneshot};
 use tracing::debug;
-use verdict::{After, Verdict};
+use verdict::{Decision, Settlement};
 
 use super::Protocol;
 use super::clearance::Clearance;
@@ -61,7 +61,7 @@
             destination = call.exchange.destination,
             endpoint = &*call.address,
             ?outcome,
-            verdict = verdict.word(),
+            verdict = verdict.label(),
             status = progress.first,
             heard = ?progress.heard,
             began,
@@ -92,7 +92,7 @@
         let outcome = match outcome {
             Outcome::Ok | Outcome::Skipped => outcome,
             // What was not written to its last byte never ran, however it ended.
-            _ if !progress.heard.written => Outcome::ConnectFailed,
+            _ if !progress.heard.request_written => Outcome::ConnectFailed,
             outcome => outcome,
         };
         Ended { outcome, verdict: outcome.verdict(), report: Report::default(), progress }
@@ -110,7 +110,7 @@
                 Err(outcome) => return Ended::without_answer(outcome, progress),
             };
         let heard_at = answered.at();
-        let settles = progress.heard.settles();
+        let settles = progress.heard.needs_settling();
         let released = match self.connections.release(&answered, &progress) {
             Some(released) => {
                 progress.announce().await;
@@ -156,7 +156,7 @@
 /// How an attempt ended.
 struct Ended {
     outcome: Outcome,
-    verdict: Verdict,
+    verdict: Decision,
     report: Report,
     progress: Progress,
 }
@@ -164,22 +164,24 @@
 impl Ended {
     /// With no whole answer.
     fn without_answer(outcome: Outcome, progress: Progress) -> Self {
-        let verdict = progress.heard.verdict();
+        let verdict = progress.heard.decision();
         let outcome = match (outcome, verdict) {
-            (_, Verdict::Delivered) => Outcome::Ok,
-            (_, Verdict::Over | Verdict::Spent { .. }) | (Outcome::Skipped, _) => Outcome::Skipped,
-            (_, Verdict::MayHaveEnded) => Outcome::Spoilt,
+            (_, Decision::Delivered) => Outcome::Ok,
+            (_, Decision::EndedElsewhere | Decision::AttemptsExhausted { .. }) | (Outcome::Skipped, _) => {
+                Outcome::Skipped
+            }
+            (_, Decision::MayHaveEnded) => Outcome::Spoilt,
             // What was not written to its last byte never ran, however it ended.
-            _ if !progress.heard.written => Outcome::ConnectFailed,
-            (outcome, Verdict::Owed { .. }) => outcome,
+            _ if !progress.heard.request_written => Outcome::ConnectFailed,
+            (outcome, Decision::Pending { .. }) => outcome,
         };
         Ended { outcome, verdict, report: Report::default(), progress }
     }
 
     /// By an answer that came so long ago.
     fn by_answer(answer: &Message, age: Micros, progress: Progress) -> Self {
-        let verdict = progress.heard.verdict();
-        if progress.heard.after == After::Surplus || verdict == Verdict::MayHaveEnded {
+        let verdict = progress.heard.decision();
+        if progress.heard.settlement == Settlement::UnsolicitedData || verdict == Decision::MayHaveEnded {
             return Ended { outcome: Outcome::Spoilt, verdict, report: Report::default(), progress };
         }
         let outcome = read(answer, progress.opened, age);
--- a/src/net/progress.rs
+++ b/src/net/progress.rs
@@ -3,7 +3,7 @@
 
 use record::model::Evidence;
 use tokio::sync::mpsc;
-use verdict::{Extent, Heard, Verdict};
+use verdict::{Decision, Extent, ReceivedAnswer};
 
 use crate::exchange::{CallHeard, OutboundCall};
 use crate::input::Input;
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
     /// What was heard.
-    pub heard: Heard,
+    pub heard: ReceivedAnswer,
     /// The status in the answer's first line.
     pub first: Option<u16>,
     /// It went out on a new connection.
@@ -40,7 +40,7 @@
     inputs: mpsc::Sender<Input>,
     id: String,
     attempt: u32,
-    told: Option<Verdict>,
+    told: Option<Decision>,
 }
 
 impl Progress {
@@ -58,9 +58,9 @@
 
     /// Tells what was heard so far, if it may end the message and was not told before. Whoever waits for more has told it before.
     pub async fn announce(&mut self) {
-        let verdict = self.heard.verdict();
+        let verdict = self.heard.decision();
         let Some(announcer) = self.announcer.as_mut() else { return };
-        if verdict.owed() || announcer.told == Some(verdict) {
+        if verdict.is_pending() || announcer.told == Some(verdict) {
             return;
         }
         announcer.told = Some(verdict);
@@ -71,7 +71,7 @@
     /// Takes bytes that came and are not the whole first line.
     pub fn part_of_line(&mut self, bytes: &[u8]) {
         if self.first.is_none() && self.heard.extent == Extent::Nothing {
-            self.heard.extent = Extent::of_part(bytes);
+            self.heard.extent = Extent::from_partial(bytes);
         }
     }
 
--- a/src/net/resting.rs
+++ b/src/net/resting.rs
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
 use tokio_util::codec::Framed;
-use verdict::After;
+use verdict::Settlement;
 
 use super::http::AnswerCodec;
 use super::quiet;
@@ -40,14 +40,14 @@
 /// connection ended.
 #[derive(Default)]
 pub struct Settling {
-    waiting: Vec<oneshot::Sender<After>>,
+    waiting: Vec<oneshot::Sender<Settlement>>,
     since: Micros,
     until: Micros,
 }
 
 impl Settling {
     /// Adds an answer that came now, and settles all if the connection stays quiet until then.
-    pub fn add(&mut self, now: Micros, until: Micros) -> oneshot::Receiver<After> {
+    pub fn add(&mut self, now: Micros, until: Micros) -> oneshot::Receiver<Settlement> {
         if self.waiting.is_empty() {
             self.since = now;
         }
@@ -68,7 +68,7 @@
     }
 
     /// Tells what came after all that wait.
-    pub fn conclude(&mut self, after: After) {
+    pub fn conclude(&mut self, after: Settlement) {
         for waiting in self.waiting.drain(..) {
             let _ = waiting.send(after);
         }
@@ -236,9 +236,9 @@
             how = connection.broken() => {
                 connection.settling.conclude(match how {
                     // It said that it would.
-                    Broken::Closed if connection.closing => After::Settled,
-                    Broken::Closed => After::Ended,
-                    Broken::Surplus(_) => After::Surplus,
+                    Broken::Closed if connection.closing => Settlement::Settled,
+                    Broken::Closed => Settlement::Unsettled,
+                    Broken::Surplus(_) => Settlement::UnsolicitedData,
                 });
                 broken(&connection, how);
                 return None;
@@ -247,7 +247,7 @@
                 Ok(()) => return Some(connection),
                 Err(_) => kept = false,
             },
-            () = tokio::time::sleep_until(settled), if !connection.settling.is_empty() => connection.settling.conclude(After::Settled),
+            () = tokio::time::sleep_until(settled), if !connection.settling.is_empty() => connection.settling.conclude(Settlement::Settled),
         }
     }
     None
--- a/src/recording.rs
+++ b/src/recording.rs
@@ -16,7 +16,7 @@
 
 use crate::exchange::{Answer, Clock, Exchange};
 use crate::input::Input;
-use crate::interface::{Micros, Outcome, Settings, Verdict};
+use crate::interface::{Decision, Micros, Outcome, Settings};
 use crate::retry::{MayPass, until_works};
 use crate::standing::Standing as Process;
 use crate::store::{Heard, Journal, takeover};
@@ -109,7 +109,7 @@
 }
 
 /// An attempt's end, as it is recorded.
-pub fn heard(at: Micros, outcome: Outcome, verdict: Verdict, evidence: Evidence) -> Heard {
+pub fn heard(at: Micros, outcome: Outcome, verdict: Decision, evidence: Evidence) -> Heard {
     let result = match outcome {
         Outcome::Ok => "ok",
         Outcome::Error => "error",
@@ -123,9 +123,12 @@
         Outcome::Skipped => "skipped",
     };
     let effect = match verdict {
-        Verdict::Delivered => Effect::Took,
+        Decision::Delivered => Effect::Took,
         verdict if verdict.may_have_run() => Effect::InDoubt,
-        Verdict::Over | Verdict::MayHaveEnded | Verdict::Spent { .. } | Verdict::Owed { .. } => Effect::Never,
+        Decision::EndedElsewhere
+        | Decision::MayHaveEnded
+        | Decision::AttemptsExhausted { .. }
+        | Decision::Pending { .. } => Effect::Never,
     };
     Heard { at, result: result.into(), effect, evidence: evidence.bounded() }
 }
--- a/src/rules/outcomes.rs
+++ b/src/rules/outcomes.rs
@@ -43,7 +43,7 @@
         let Done { id, outcome, verdict, .. } = *done;
         let Some(message) = self.messages.get_mut(&id) else { return };
         let Some(call_id) = message.out.take() else { return };
-        let over = verdict.ended() || message.over;
+        let over = verdict.is_ended() || message.over;
         let settled = message.settling.take();
         let Some((begun, zone)) = settled.or_else(|| self.answer_of(now, call_id, done)) else { return };
         let Some(message) = self.messages.get_mut(&id) else { return };
@@ -57,10 +57,10 @@
         let Some(message) = self.messages.get(&id) else { return };
         if over {
             self.forget(id);
-        } else if verdict == Verdict::MayHaveEnded {
+        } else if verdict == Decision::MayHaveEnded {
             actions.push(Action::Fail(id));
             self.forget(id);
-        } else if !verdict.owed()
+        } else if !verdict.is_pending()
             || message.attempts >= self.settings.max_attempts
             || self.last_start(message) <= now
             || (message.risk.is_some() && self.settings.classes[message.class].effect == Effect::Unsafe)
--- a/src/runtime/handover.rs
+++ b/src/runtime/handover.rs
@@ -8,7 +8,7 @@
 
 use crate::handed::{Handed, HeldNow, LeftOut, Offer, OutNow};
 use crate::input::Retuned;
-use crate::interface::{Event, Verdict};
+use crate::interface::{Decision, Event};
 use crate::standing::Phase;
 use crate::store::{Replay, StoreError, Stored};
 
@@ -67,7 +67,7 @@
         let held = self.adopt_state(handed);
         self.resend(replay.notices);
         let by_id = |stored: Stored| (stored.id.clone(), stored);
-        let mut heard: HashMap<String, (Stored, Verdict)> = replay
+        let mut heard: HashMap<String, (Stored, Decision)> = replay
             .heard
             .into_iter()
             .map(|(stored, verdict)| (stored.id.clone(), (stored, verdict)))
@@ -116,7 +116,7 @@
 
     /// Holds a message of the other process; returns its call in flight, if there is one.
     fn adopt_message(
-        &mut self, message: HeldNow, stored: Stored, heard: Option<Verdict>,
+        &mut self, message: HeldNow, stored: Stored, heard: Option<Decision>,
     ) -> Option<(OutNow, oneshot::Receiver<()>)> {
         let HeldNow { message, mut exchange, class, attempts, withdrawn, out } = message;
         exchange.body = stored.body;
--- a/src/runtime/held.rs
+++ b/src/runtime/held.rs
@@ -8,7 +8,7 @@
 
 use crate::exchange::Exchange;
 use crate::handed::{HeldNow, OutNow};
-use crate::interface::{MessageId, Micros, TargetId, Verdict};
+use crate::interface::{Decision, MessageId, Micros, TargetId};
 
 /// Time for which the id of an ended message is remembered, in microseconds.
 const ENDED_FOR: Micros = 15_000_000;
@@ -28,7 +28,7 @@
     /// The call in flight was answered, and the answer is still to settle.
     pub(super) answered: bool,
     /// What was heard of the call in flight, if it may end the message.
-    pub(super) heard: Option<Verdict>,
+    pub(super) heard: Option<Decision>,
     /// Number of the message's class.
     pub(super) class: usize,
     /// Whether its client left before it heard that the message was accepted.
--- a/src/runtime/outage.rs
+++ b/src/runtime/outage.rs
@@ -182,7 +182,8 @@
         match call {
             Some(call) => {
                 let OutboundCall { attempt, target, .. } = call;
-                let (outcome, verdict, report) = (Outcome::Skipped, Verdict::Over, Report::default());
+                let (outcome, verdict, report) =
+                    (Outcome::Skipped, Decision::EndedElsewhere, Report::default());
                 self.handle(Event::Done(Done { id, attempt, target, outcome, took: 0, verdict, report }));
             }
             None => self.handle(Event::Gone(id)),
--- a/src/runtime/outcomes.rs
+++ b/src/runtime/outcomes.rs
@@ -21,7 +21,7 @@
         let Some(held) = self.held.get_mut(&id) else { return };
         (held.call, held.out) = (None, None);
         // Whoever tells the end may know less than was heard, as where the link to another process broke.
-        if let Some(heard) = held.heard.take().filter(|_| end.verdict.owed()) {
+        if let Some(heard) = held.heard.take().filter(|_| end.verdict.is_pending()) {
             end.verdict = heard;
         }
         // The fleet has heard of an answer when it came.
@@ -35,8 +35,8 @@
             told
         });
         let withdrawn = held.withdrawn;
-        if end.verdict.ended() || withdrawn {
-            let delivered = end.verdict == Verdict::Delivered && !withdrawn;
+        if end.verdict.is_ended() || withdrawn {
+            let delivered = end.verdict == Decision::Delivered && !withdrawn;
             let outcome = if delivered { RecordedOutcome::Delivered } else { RecordedOutcome::Withdrawn };
             self.finish(id, outcome, None);
         } else {
@@ -47,7 +47,7 @@
         let took = end.answered.unwrap_or_else(|| self.clock.now()) - end.began;
         let CallEnd { attempt, target, outcome, mut verdict, report, .. } = end;
         if withdrawn {
-            verdict = Verdict::Over;
+            verdict = Decision::EndedElsewhere;
         }
         let done = Done { id, attempt, target, outcome, took, verdict, report };
         self.hold_back(&done, now);
@@ -62,7 +62,7 @@
             return;
         };
         held.heard = Some(verdict);
-        debug!(message = id, attempt, verdict = verdict.word(), "heard");
+        debug!(message = id, attempt, verdict = verdict.label(), "heard");
         self.records.push(Record::Heard { id, attempt, verdict });
     }
 
@@ -82,7 +82,7 @@
 
     /// A call ended after its message did. It is worth recording that it took effect all the same.
     fn ended_too_late(&mut self, end: CallEnd, now: Micros) {
-        if end.verdict == Verdict::Delivered {
+        if end.verdict == Decision::Delivered {
             self.came_late(Late {
                 id: end.id,
                 at: now,
--- a/src/runtime/recovery.rs
+++ b/src/runtime/recovery.rs
@@ -80,23 +80,23 @@
     }
 
     /// Ends a message by what was heard of its last attempt. It is never sent again.
-    pub(super) fn resume_heard(&mut self, mut stored: Stored, verdict: Verdict) {
+    pub(super) fn resume_heard(&mut self, mut stored: Stored, verdict: Decision) {
         let terms = stored.terms.clone().or_else(|| self.current_terms(&stored.class));
         let once = terms.is_none_or(|terms| terms.effect == Effect::Unsafe);
         let mut trace = self.resumed_trace(&mut stored);
         if let Some(trace) = &mut trace {
-            let attempt_outcome = if verdict == Verdict::Delivered { Outcome::Ok } else { Outcome::Skipped };
+            let attempt_outcome = if verdict == Decision::Delivered { Outcome::Ok } else { Outcome::Skipped };
             let told = heard(self.clock.now(), attempt_outcome, verdict, Evidence::default());
             let attempt = stored.attempts.saturating_sub(1);
             trace.ended(attempt, told.at, &told.result, told.effect, told.evidence);
         }
         let Stored { id, class, tenant, due, destination, idempotency_key, body, .. } = stored;
         let exchange = Exchange { id, class, tenant, due, destination, idempotency_key, body };
-        debug!(message = exchange.id, verdict = verdict.word(), "ends by what was heard before");
+        debug!(message = exchange.id, verdict = verdict.label(), "ends by what was heard before");
         let (outcome, notice) = match verdict {
-            Verdict::Delivered => (RecordedOutcome::Delivered, None),
-            Verdict::Over => (RecordedOutcome::Withdrawn, None),
-            Verdict::MayHaveEnded | Verdict::Spent { .. } | Verdict::Owed { .. } => {
+            Decision::Delivered => (RecordedOutcome::Delivered, None),
+            Decision::EndedElsewhere => (RecordedOutcome::Withdrawn, None),
+            Decision::MayHaveEnded | Decision::AttemptsExhausted { .. } | Decision::Pending { .. } => {
                 let notice = Notice { id: exchange.id.clone(), handed_back: false, retry_in_ms: None };
                 (RecordedOutcome::Failed, Some(notice))
             }
--- a/src/standing.rs
+++ b/src/standing.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use tokio::sync::watch;
-use verdict::Verdict;
+use verdict::Decision;
 
 use crate::exchange::Clock;
 use crate::interface::Micros;
@@ -87,14 +87,14 @@
 
 impl ConnectionCounts {
     /// Counts the verdict on an attempt.
-    pub fn judged(&self, verdict: Verdict) {
+    pub fn judged(&self, verdict: Decision) {
         let VerdictCounts { delivered, over, may_have_ended, spent, owed } = &self.verdicts;
         Self::add(match verdict {
-            Verdict::Delivered => delivered,
-            Verdict::Over => over,
-            Verdict::MayHaveEnded => may_have_ended,
-            Verdict::Spent { .. } => spent,
-            Verdict::Owed { .. } => owed,
+            Decision::Delivered => delivered,
+            Decision::EndedElsewhere => over,
+            Decision::MayHaveEnded => may_have_ended,
+            Decision::AttemptsExhausted { .. } => spent,
+            Decision::Pending { .. } => owed,
         });
     }
 
--- a/src/store/book.rs
+++ b/src/store/book.rs
@@ -7,7 +7,7 @@
 
 use super::{Heard, Record, Replay, Stored};
 use crate::exchange::{Notice, Receipt};
-use crate::interface::{Micros, Verdict};
+use crate::interface::{Decision, Micros};
 
 /// State of one message, folded from its records.
 #[derive(Clone, Debug)]
@@ -20,7 +20,7 @@
     /// An attempt is out.
     open: bool,
     /// What was heard of it, if it may end the message, and which attempt it is.
-    heard: Option<(u32, Verdict)>,
+    heard: Option<(u32, Decision)>,
     /// Where the record lies from which the state can be rebuilt, and its size there.
     pub(super) segment: u64,
     pub(super) size: u64,
--- a/src/store/bytes.rs
+++ b/src/store/bytes.rs
@@ -7,7 +7,7 @@
 
 use super::{Record, Stored};
 use crate::exchange::{Notice, Receipt};
-use crate::interface::Verdict;
+use crate::interface::Decision;
 
 /// Kind of the record of a message that was accepted with an idempotency key: the key, then the record without it.
 const KEYED: u8 = b'K';
@@ -103,25 +103,25 @@
 const HEARD_SPENT: u8 = 5;
 const HEARD_SPENT_MAY_HAVE_RUN: u8 = 6;
 
-fn heard_byte(verdict: Verdict) -> u8 {
+fn heard_byte(verdict: Decision) -> u8 {
     match verdict {
-        Verdict::Owed { may_have_run } => u8::from(may_have_run),
-        Verdict::Delivered => HEARD_DELIVERED,
-        Verdict::Over => HEARD_OVER,
-        Verdict::MayHaveEnded => HEARD_MAY_HAVE_ENDED,
-        Verdict::Spent { may_have_run: false } => HEARD_SPENT,
-        Verdict::Spent { may_have_run: true } => HEARD_SPENT_MAY_HAVE_RUN,
+        Decision::Pending { may_have_run } => u8::from(may_have_run),
+        Decision::Delivered => HEARD_DELIVERED,
+        Decision::EndedElsewhere => HEARD_OVER,
+        Decision::MayHaveEnded => HEARD_MAY_HAVE_ENDED,
+        Decision::AttemptsExhausted { may_have_run: false } => HEARD_SPENT,
+        Decision::AttemptsExhausted { may_have_run: true } => HEARD_SPENT_MAY_HAVE_RUN,
     }
 }
 
 /// The verdict that a byte stands for; `None` where it is an outcome's flag.
-fn heard_verdict(byte: u8) -> Option<Verdict> {
+fn heard_verdict(byte: u8) -> Option<Decision> {
     match byte {
-        HEARD_DELIVERED => Some(Verdict::Delivered),
-        HEARD_OVER => Some(Verdict::Over),
-        HEARD_MAY_HAVE_ENDED => Some(Verdict::MayHaveEnded),
-        HEARD_SPENT => Some(Verdict::Spent { may_have_run: false }),
-        HEARD_SPENT_MAY_HAVE_RUN => Some(Verdict::Spent { may_have_run: true }),
+        HEARD_DELIVERED => Some(Decision::Delivered),
+        HEARD_OVER => Some(Decision::EndedElsewhere),
+        HEARD_MAY_HAVE_ENDED => Some(Decision::MayHaveEnded),
+        HEARD_SPENT => Some(Decision::AttemptsExhausted { may_have_run: false }),
+        HEARD_SPENT_MAY_HAVE_RUN => Some(Decision::AttemptsExhausted { may_have_run: true }),
         _ => None,
     }
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::exchange::{IdempotencyKey, Notice, Receipt};
-use crate::interface::{Class, Micros, Verdict};
+use crate::interface::{Class, Decision, Micros};
 
 pub use self::bytes::{decode, encode};
 pub use error::StoreError;
@@ -105,7 +105,7 @@
         /// Which attempt.
         attempt: u32,
         /// What that means for the message if nothing more comes.
-        verdict: Verdict,
+        verdict: Decision,
     },
     /// The message is over; with the notice that is owed, if one is.
     Ended {
@@ -151,7 +151,7 @@
     /// In the order taken.
     pub messages: Vec<Stored>,
     /// Messages that have ended or may have, by what was heard of their last attempt.
-    pub heard: Vec<(Stored, Verdict)>,
+    pub heard: Vec<(Stored, Decision)>,
     /// Not acknowledged yet.
     pub notices: Vec<Notice>,
     /// Still remembered.
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -440,7 +440,7 @@
                     state.2 = state.2.saturating_sub(1);
                 }
                 self.settle(id);
-                let verdict = if over { Verdict::Over } else { outcome.verdict() };
+                let verdict = if over { Decision::EndedElsewhere } else { outcome.verdict() };
                 Ok(Some(Event::Done(Done { id, attempt, target, outcome, took, verdict, report })))
             }
             "HANGUP" => {
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -17,7 +17,7 @@
 use tulipfall::config::Config;
 use tulipfall::exchange::{Answer, CallEnd, Clock, Exchange, OutboundCall};
 use tulipfall::input::Input;
-use tulipfall::interface::{Effect, Micros, Outcome, TargetId, Verdict};
+use tulipfall::interface::{Decision, Effect, Micros, Outcome, TargetId};
 use tulipfall::net::connections::Connections;
 use tulipfall::net::http::Budget;
 use tulipfall::net::inbound::{Front, Inbound, Vocabulary, serve};
@@ -26,7 +26,7 @@
 use tulipfall::runtime::{Caller, Runtime};
 use tulipfall::standing::{Phase, Standing};
 use tulipfall::store::Journal;
-use verdict::reuse::{MIN_QUIET, REST};
+use verdict::reuse::{MIN_QUIET_US, MIN_REST_US};
 
 const S: Micros = 1_000_000;
 const LANE: usize = 3;
@@ -353,7 +353,7 @@
 /// A second call on the connection of a first one, as far as the endpoint has read it.
 async fn second_call(side: &mut Side, endpoint: &Endpoint) -> (TcpStream, oneshot::Sender<()>) {
     let mut connection = side.served(endpoint).await;
-    tokio::time::sleep(Duration::from_micros(2 * REST as u64)).await;
+    tokio::time::sleep(Duration::from_micros(2 * MIN_REST_US as u64)).await;
     let handle = side.outbound.call(side.call("second", endpoint));
     assert!(request(&mut connection).await.contains("X-Correlation-Id: second"), "on the same connection");
     (connection, handle)
@@ -362,7 +362,7 @@
 /// What was told of an attempt, in the order in which it has to be told.
 struct Told {
     /// What its message may have ended by.
-    heard: Option<Verdict>,
+    heard: Option<Decision>,
     /// What the endpoint answered, while that was still to settle.
     answered: Option<Outcome>,
     end: CallEnd,
@@ -392,9 +392,9 @@
         connection.write_all(bytes).await.expect("written");
         let told = told(&mut side).await;
         assert_eq!((told.answered, told.end.outcome), (Some(expected), expected));
-        assert_eq!(told.heard, (expected == Outcome::Ok).then_some(Verdict::Delivered));
+        assert_eq!(told.heard, (expected == Outcome::Ok).then_some(Decision::Delivered));
         assert_eq!(told.end.verdict, expected.verdict());
-        assert!(side.clock.now() - began >= MIN_QUIET, "it was watched");
+        assert!(side.clock.now() - began >= MIN_QUIET_US, "it was watched");
     }
 }
 
@@ -404,10 +404,10 @@
         let (mut side, endpoint) = (Side::new(), Endpoint::new());
         let (mut connection, _handle) = second_call(&mut side, &endpoint).await;
         connection.write_all(first).await.expect("written");
-        tokio::time::sleep(Duration::from_micros(MIN_QUIET as u64 / 5)).await;
+        tokio::time::sleep(Duration::from_micros(MIN_QUIET_US as u64 / 5)).await;
         connection.write_all(then).await.expect("written");
         let end = told(&mut side).await.end;
-        assert_eq!((end.outcome, end.verdict), (Outcome::Spoilt, Verdict::MayHaveEnded));
+        assert_eq!((end.outcome, end.verdict), (Outcome::Spoilt, Decision::MayHaveEnded));
     }
 }
 
@@ -419,7 +419,7 @@
     let mut rest = Vec::new();
     let _ = soon(first.read_to_end(&mut rest)).await;
     let second = side.served(&endpoint).await;
-    tokio::time::sleep(Duration::from_micros(2 * REST as u64)).await;
+    tokio::time::sleep(Duration::from_micros(2 * MIN_REST_US as u64)).await;
     side.served(&endpoint).await;
     drop(second);
 }
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -148,7 +148,7 @@
     let mut rig = Rig::two();
     rig.arrive(1, SAFE, 1);
     rig.now += MS;
-    let actions = rig.judged(1, 1, Outcome::Spoilt, Verdict::MayHaveEnded);
+    let actions = rig.judged(1, 1, Outcome::Spoilt, Decision::MayHaveEnded);
     assert_eq!((sent(&actions), ended(&actions)), (vec![], vec![(1, false)]));
     assert_eq!(sent(&only(rig.pass(20 * S))), [] as [u64; 0]);
 }
@@ -161,7 +161,7 @@
         let mut rig = Rig::two();
         rig.arrive(1, class, 1);
         rig.now += MS;
-        let actions = rig.judged(1, 1, Outcome::Skipped, Verdict::Spent { may_have_run });
+        let actions = rig.judged(1, 1, Outcome::Skipped, Decision::AttemptsExhausted { may_have_run });
         assert_eq!((sent(&actions), ended(&actions)), (vec![], vec![(1, handed_back)]));
     }
 }
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -146,7 +146,7 @@
     }
 
     /// An attempt ended, with a verdict that its outcome alone would not give.
-    pub fn judged(&mut self, id: u64, target: u32, outcome: Outcome, verdict: Verdict) -> Vec<Action> {
+    pub fn judged(&mut self, id: u64, target: u32, outcome: Outcome, verdict: Decision) -> Vec<Action> {
         let attempt = self.attempts.get(&id).copied().unwrap_or(1) - 1;
         self.event(Event::Done(Done {
             id: MessageId(id),
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -9,7 +9,7 @@
 use record::model::{Effect, Evidence, Trace};
 use stand::folder;
 use tulipfall::exchange::{Notice, Receipt};
-use tulipfall::interface::{Class, Verdict};
+use tulipfall::interface::{Class, Decision};
 use tulipfall::store::*;
 
 fn room(limit: u64) -> Room {
@@ -61,10 +61,10 @@
         Record::Outcome { id: id("may have"), attempt: 0, may_have_run: true, heard: None },
         taken("heard", 3),
         Record::Started { id: id("heard"), attempt: 0, begun: None },
-        Record::Heard { id: id("heard"), attempt: 0, verdict: Verdict::Delivered },
+        Record::Heard { id: id("heard"), attempt: 0, verdict: Decision::Delivered },
         taken("heard over, then settled", 3),
         Record::Started { id: id("heard over, then settled"), attempt: 0, begun: None },
-        Record::Heard { id: id("heard over, then settled"), attempt: 0, verdict: Verdict::MayHaveEnded },
+        Record::Heard { id: id("heard over, then settled"), attempt: 0, verdict: Decision::MayHaveEnded },
         Record::Outcome { id: id("heard over, then settled"), attempt: 0, may_have_run: false, heard: None },
         taken("delivered", 100),
         Record::Ended { id: id("delivered"), notice: None },
@@ -111,7 +111,7 @@
         .messages
         .iter()
         .map(|m| format!("{}: {} attempts, may have run: {}", m.id, m.attempts, m.may_have_run));
-    let heard = replay.heard.iter().map(|(m, verdict)| format!("{}: heard, {}", m.id, verdict.word()));
+    let heard = replay.heard.iter().map(|(m, verdict)| format!("{}: heard, {}", m.id, verdict.label()));
     let notices = replay.notices.iter().map(|n| format!("{}: notice owed, {:?}", n.id, n.retry_in_ms));
     let receipts = replay.receipts.iter().map(|r| format!("{:?}: receipt of {} bytes", r.key, r.bytes.len()));
     let entries = replay.entries.iter().map(|(n, bytes)| format!("entry {n} of {} bytes", bytes.len()));
@@ -242,12 +242,12 @@
 }
 
 /// What waits for the record survives compaction, and the life of a message does with its open attempt.
-const VERDICTS: [Verdict; 5] = [
-    Verdict::Delivered,
-    Verdict::Over,
-    Verdict::MayHaveEnded,
-    Verdict::Spent { may_have_run: false },
-    Verdict::Spent { may_have_run: true },
+const VERDICTS: [Decision; 5] = [
+    Decision::Delivered,
+    Decision::EndedElsewhere,
+    Decision::MayHaveEnded,
+    Decision::AttemptsExhausted { may_have_run: false },
+    Decision::AttemptsExhausted { may_have_run: true },
 ];
 
 #[test]
@@ -282,7 +282,7 @@
     assert!(!place.join("journal-1").exists(), "the first file was given up");
     drop(journal);
     let (_, replay) = Journal::open(&place, room(1_500_000)).expect("opens");
-    let heard: Vec<Verdict> = replay.heard.iter().map(|(_, verdict)| *verdict).collect();
+    let heard: Vec<Decision> = replay.heard.iter().map(|(_, verdict)| *verdict).collect();
     assert_eq!((heard, replay.messages.len()), (VERDICTS.to_vec(), 0));
 }
 
--- a/tests/trouble.rs
+++ b/tests/trouble.rs
@@ -133,7 +133,7 @@
             target: TargetId(1),
             outcome: Outcome::TimedOut,
             took: 100 * MS,
-            verdict: Verdict::Over,
+            verdict: Decision::EndedElsewhere,
             report: Report::default(),
         }));
     }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -81,7 +81,7 @@
         target: TargetId(0),
         outcome: Outcome::Full(Some(250_000)),
         took: 18_500,
-        verdict: Verdict::Owed { may_have_run: false },
+        verdict: Decision::Pending { may_have_run: false },
         report: Report { left: Some(0.5), limit: Some(7.25), wait: None },
     };
     assert_eq!(done, Some(Event::Done(expected)));
