--- a/crates/control/src/main.rs
+++ b/crates/control/src/main.rs
@@ -7,7 +7,7 @@
 use control::shell::config::{Config, read_signing_key};
 use control::shell::daemon;
 use tokio::runtime::Builder;
-use transient::until_works_blocking;
+use transient::retry_transient_blocking;
 
 /// A control machine of tulipfall: agrees with the others on the changes of the destination set, and publishes them.
 #[derive(Parser)]
@@ -38,8 +38,9 @@
         println!("{}", hex::encode(read_signing_key(file)?.verifying_key().to_bytes()));
     }
     let Some(file) = &cli.config else { return Ok(()) };
-    let config = until_works_blocking("configuration", || Config::read(file))?;
-    let runtime = until_works_blocking("event loop", || Builder::new_current_thread().enable_all().build())?;
+    let config = retry_transient_blocking("configuration", || Config::read(file))?;
+    let runtime =
+        retry_transient_blocking("event loop", || Builder::new_current_thread().enable_all().build())?;
     runtime.block_on(daemon::run(config))?;
     Ok(())
 }
--- a/crates/control/src/shell/config.rs
+++ b/crates/control/src/shell/config.rs
@@ -44,7 +44,7 @@
 use rollout::layout::{Layout, LayoutError};
 use rollout::topology::Topology;
 use thiserror::Error;
-use transient::MayPass;
+use transient::RetryableError;
 
 use crate::shell::config_file::{ControlTable, File, LinkKeyTable, PeersTable, ZoneTable};
 
@@ -113,10 +113,10 @@
     },
 }
 
-impl MayPass for ConfigError {
-    fn may_pass(&self, elapsed: Duration) -> bool {
+impl RetryableError for ConfigError {
+    fn is_retryable(&self, elapsed: Duration) -> bool {
         match self {
-            ConfigError::Read { source, .. } => source.may_pass(elapsed),
+            ConfigError::Read { source, .. } => source.is_retryable(elapsed),
             ConfigError::Key { .. } => false,
         }
     }
--- a/crates/control/src/shell/daemon.rs
+++ b/crates/control/src/shell/daemon.rs
@@ -12,7 +12,7 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep_until;
-use transient::{Retries, until_works};
+use transient::{RetryBackoff, retry_transient};
 
 use crate::machine::{Compaction, Machine, MachineError, Submission, SubmitError};
 use crate::outcome::Outcome;
@@ -123,7 +123,7 @@
 }
 
 async fn bind(address: std::net::SocketAddr) -> Result<TcpListener, DaemonError> {
-    until_works("listen", async || TcpListener::bind(address).await)
+    retry_transient("listen", async || TcpListener::bind(address).await)
         .await
         .map_err(|error| DaemonError::Socket(address, error))
 }
@@ -138,11 +138,12 @@
         let clock = Clock::start();
         let now = clock.now_us();
         let keys = ControlKeys::new(&[config.cluster_key.verifying_key().to_bytes()])?;
-        let (disk, persisted) = until_works("consensus log", async || LogFile::open(&config.data)).await?;
+        let (disk, persisted) =
+            retry_transient("consensus log", async || LogFile::open(&config.data)).await?;
         let key = config.cluster_key.clone();
         let machine = Machine::new(config.consensus.clone(), persisted, key, Compaction::default())?;
         let address = config.me.link;
-        let notes = until_works("notes", async || UdpSocket::bind(address).await).await;
+        let notes = retry_transient("notes", async || UdpSocket::bind(address).await).await;
         let notes = notes.map_err(|error| DaemonError::Socket(address, error))?;
         let others = config.controls.iter().filter(|(id, _)| **id != config.consensus.id);
         let senders = others.map(|(id, other)| (*id, Sender::spawn(other.consensus)));
@@ -212,12 +213,12 @@
     /// Writes records, however long the disk fails: a machine that sends nothing meanwhile is to the others as one that is
     /// down, and breaks no promise.
     async fn persist(&mut self, records: &[consensus::Record]) -> Result<(), DiskError> {
-        let mut retries = Retries::default();
+        let mut retries = RetryBackoff::default();
         while let Err(error) = self.disk.write(records, self.machine.consensus().persisted()) {
-            let Some(interval) = retries.after("consensus log", &error) else { return Err(error) };
+            let Some(interval) = retries.next_interval("consensus log", &error) else { return Err(error) };
             tokio::time::sleep(interval).await;
         }
-        retries.worked("consensus log");
+        retries.report_success("consensus log");
         Ok(())
     }
 
--- a/crates/control/src/shell/disk.rs
+++ b/crates/control/src/shell/disk.rs
@@ -17,7 +17,7 @@
 
 use consensus::{Persisted, Record, RecordError};
 use thiserror::Error;
-use transient::MayPass;
+use transient::RetryableError;
 
 /// The file of records.
 const LOG: &str = "consensus.log";
@@ -60,10 +60,10 @@
     },
 }
 
-impl MayPass for DiskError {
-    fn may_pass(&self, elapsed: Duration) -> bool {
+impl RetryableError for DiskError {
+    fn is_retryable(&self, elapsed: Duration) -> bool {
         match self {
-            DiskError::Io { source, .. } => source.may_pass(elapsed),
+            DiskError::Io { source, .. } => source.is_retryable(elapsed),
             DiskError::InUse(_) | DiskError::Damaged { .. } | DiskError::Records { .. } => false,
         }
     }
--- a/crates/transient/src/lib.rs
+++ b/crates/transient/src/lib.rs
@@ -1,10 +1,12 @@
-//! Which errors of system calls may pass by themselves, and trying again meanwhile.
+//! Classification of system call errors as transient or permanent, and retries after transient ones.
 //!
-//! [`persistence`] is the one place that tells a machine which is short of something for a moment from one on which somebody has
-//! to do something. [`Retries`] says how long to wait before the next try, and logs.
+//! [`persistence`] is the single place that tells a temporary shortage of resources from an error that needs an operator.
+//! [`RetryBackoff`] returns the interval before the next attempt, and logs.
 
 mod persistence;
 mod retries;
 
 pub use persistence::{Persistence, persistence};
-pub use retries::{MayPass, Retries, until_works, until_works_blocking, until_works_watched};
+pub use retries::{
+    RetryBackoff, RetryableError, retry_transient, retry_transient_blocking, retry_transient_watched,
+};
--- a/crates/transient/src/persistence.rs
+++ b/crates/transient/src/persistence.rs
@@ -1,18 +1,17 @@
-//! Whether an error of a system call may pass by itself.
+//! Classification of system call errors as transient or permanent.
 
 use nix::errno::Errno;
 
-/// Whether trying again may help.
+/// Whether a retry after an error may succeed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Persistence {
-    /// The cause may pass by itself.
+    /// The cause may disappear without intervention.
     Transient,
-    /// Somebody has to do something about it.
+    /// An operator has to remove the cause.
     Permanent,
 }
 
-/// Whether an error of a system call may pass by itself: the machine is short of something, a device fails, or a call was
-/// interrupted.
+/// Classifies an error of a system call. Shortages of a resource, device failures and interrupted calls are transient.
 pub fn persistence(error: &std::io::Error) -> Persistence {
     let Some(number) = error.raw_os_error() else { return Persistence::Permanent };
     match Errno::from_raw(number) {
--- a/crates/transient/src/retries.rs
+++ b/crates/transient/src/retries.rs
@@ -1,4 +1,4 @@
-//! Trying again while the cause of an error may pass by itself.
+//! Retries of an operation after transient errors, with exponential back-off.
 
 use std::fmt::Display;
 use std::io::ErrorKind;
@@ -12,117 +12,119 @@
 const FIRST_INTERVAL: Duration = Duration::from_millis(5);
 /// Longest interval between retries.
 const MAX_INTERVAL: Duration = Duration::from_millis(250);
-/// Shortest time between two log lines about one cause.
+/// Shortest time between two log lines about one operation.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// Time for which an address may be in use, as by a process that is about to end.
-const ADDRESS_IN_USE: Duration = Duration::from_secs(3);
+/// Time for which an address in use is retried, because the process that holds it may be about to exit.
+const ADDRESS_IN_USE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// An error of which is known whether trying again may help.
-pub trait MayPass {
-    /// Whether trying again may help, after so long.
-    fn may_pass(&self, elapsed: Duration) -> bool;
+/// An error that is known to be transient or permanent.
+pub trait RetryableError {
+    /// Returns whether a retry may succeed, this long after the first attempt.
+    fn is_retryable(&self, elapsed: Duration) -> bool;
 }
 
-impl MayPass for std::io::Error {
-    fn may_pass(&self, elapsed: Duration) -> bool {
+impl RetryableError for std::io::Error {
+    fn is_retryable(&self, elapsed: Duration) -> bool {
         match self.kind() {
-            ErrorKind::AddrInUse => elapsed < ADDRESS_IN_USE,
+            ErrorKind::AddrInUse => elapsed < ADDRESS_IN_USE_TIMEOUT,
             _ => persistence(self) == Persistence::Transient,
         }
     }
 }
 
-/// The retries of one thing.
+/// Back-off between the attempts of one operation.
 #[derive(Debug)]
-pub struct Retries {
-    began: Instant,
+pub struct RetryBackoff {
+    started: Instant,
     interval: Duration,
     failures: u32,
-    logged: Option<Instant>,
+    last_logged: Option<Instant>,
 }
 
-impl Default for Retries {
+impl Default for RetryBackoff {
     fn default() -> Self {
-        Retries { began: Instant::now(), interval: FIRST_INTERVAL, failures: 0, logged: None }
+        RetryBackoff { started: Instant::now(), interval: FIRST_INTERVAL, failures: 0, last_logged: None }
     }
 }
 
-impl Retries {
-    /// How long to wait before the next try; none where trying again does not help. Logged once a second at most.
-    pub fn after(&mut self, what: &str, error: &(impl MayPass + Display)) -> Option<Duration> {
-        if !error.may_pass(self.began.elapsed()) {
+impl RetryBackoff {
+    /// Returns the interval before the next attempt, or `None` if a retry cannot help. Logs the error, at most once a second.
+    pub fn next_interval(
+        &mut self, operation: &str, error: &(impl RetryableError + Display),
+    ) -> Option<Duration> {
+        if !error.is_retryable(self.started.elapsed()) {
             return None;
         }
         self.failures += 1;
-        if self.logged.is_none_or(|at| at.elapsed() >= LOG_INTERVAL) {
-            self.logged = Some(Instant::now());
-            warn!(failures = self.failures, "{what}: {error}; tried again");
+        if self.last_logged.is_none_or(|at| at.elapsed() >= LOG_INTERVAL) {
+            self.last_logged = Some(Instant::now());
+            warn!(failures = self.failures, "{operation}: {error}; retrying");
         }
         let interval = self.interval;
         self.interval = (interval * 2).min(MAX_INTERVAL);
         Some(interval)
     }
 
-    /// Logs that it works, if it did not before; returns whether it did not.
-    pub fn worked(&self, what: &str) -> bool {
+    /// Returns whether any attempt failed before this success, and logs the success in that case.
+    pub fn report_success(&self, operation: &str) -> bool {
         if self.failures > 0 {
-            info!(failures = self.failures, "{what}: works now");
+            info!(failures = self.failures, "{operation}: succeeded after retries");
         }
         self.failures > 0
     }
 }
 
-/// Tries something until it works, while the cause of its errors may pass. `waits` is told each error that is waited out, and
-/// then that it works.
+/// Runs an operation until it succeeds or fails with an error that is not transient. `on_change` is called with each error
+/// that is retried, and with `None` once the operation succeeds after one.
 ///
 /// # Errors
-/// The first error that does not pass by itself.
-pub async fn until_works_watched<T, E: MayPass + Display>(
-    what: &str, mut attempt: impl AsyncFnMut() -> Result<T, E>, waits: impl Fn(Option<&E>),
+/// The first error that is not transient.
+pub async fn retry_transient_watched<T, E: RetryableError + Display>(
+    operation: &str, mut attempt: impl AsyncFnMut() -> Result<T, E>, on_change: impl Fn(Option<&E>),
 ) -> Result<T, E> {
-    let mut retries = Retries::default();
+    let mut backoff = RetryBackoff::default();
     loop {
         match attempt().await {
             Ok(result) => {
-                if retries.worked(what) {
-                    waits(None);
+                if backoff.report_success(operation) {
+                    on_change(None);
                 }
                 return Ok(result);
             }
             Err(error) => {
-                let Some(interval) = retries.after(what, &error) else { return Err(error) };
-                waits(Some(&error));
+                let Some(interval) = backoff.next_interval(operation, &error) else { return Err(error) };
+                on_change(Some(&error));
                 tokio::time::sleep(interval).await;
             }
         }
     }
 }
 
-/// Tries something until it works, while the cause of its errors may pass.
+/// Runs an operation until it succeeds or fails with an error that is not transient.
 ///
 /// # Errors
-/// The first error that does not pass by itself.
-pub async fn until_works<T, E: MayPass + Display>(
-    what: &str, attempt: impl AsyncFnMut() -> Result<T, E>,
+/// The first error that is not transient.
+pub async fn retry_transient<T, E: RetryableError + Display>(
+    operation: &str, attempt: impl AsyncFnMut() -> Result<T, E>,
 ) -> Result<T, E> {
-    until_works_watched(what, attempt, |_| ()).await
+    retry_transient_watched(operation, attempt, |_| ()).await
 }
 
-/// Tries something until it works, while the cause of its errors may pass, on the calling thread.
+/// Like [`retry_transient`], but blocks the calling thread between attempts.
 ///
 /// # Errors
-/// The first error that does not pass by itself.
-pub fn until_works_blocking<T, E: MayPass + Display>(
-    what: &str, mut attempt: impl FnMut() -> Result<T, E>,
+/// The first error that is not transient.
+pub fn retry_transient_blocking<T, E: RetryableError + Display>(
+    operation: &str, mut attempt: impl FnMut() -> Result<T, E>,
 ) -> Result<T, E> {
-    let mut retries = Retries::default();
+    let mut backoff = RetryBackoff::default();
     loop {
         match attempt() {
             Ok(result) => {
-                retries.worked(what);
+                backoff.report_success(operation);
                 return Ok(result);
             }
-            Err(error) => match retries.after(what, &error) {
+            Err(error) => match backoff.next_interval(operation, &error) {
                 Some(interval) => std::thread::sleep(interval),
                 None => return Err(error),
             },
--- a/src/as2.rs
+++ b/src/as2.rs
@@ -581,7 +581,7 @@
             body: body.into(),
         };
         let (reply, answer) = oneshot::channel();
-        let input = Input::Handed(Arc::new(exchange), Some(receipt.clone()), reply);
+        let input = Input::Submitted(Arc::new(exchange), Some(receipt.clone()), reply);
         // In whole seconds, as partners read them.
         let refusal = |why: &str, after: Option<Micros>| {
             let after = after.map_or(1, |after| (after.max(1) + 999_999) / 1_000_000);
@@ -591,9 +591,9 @@
             return Ok(Err(refusal("stopped", None)));
         }
         Ok(match answer.await {
-            Ok(Answer::Taken | Answer::TakenBefore) => Ok(receipt),
+            Ok(Answer::Accepted | Answer::AlreadyAccepted) => Ok(receipt),
             Ok(Answer::Refused(why, after)) => Err(refusal(&why, after)),
-            Ok(Answer::Unknown) => Err(Message::response(500, "its class is no more")),
+            Ok(Answer::UnknownClass) => Err(Message::response(500, "its class is no more")),
             Ok(Answer::Failed(why)) => Err(Message::response(500, why.into_owned())),
             Err(_) => Err(refusal("stopped", None)),
         })
--- a/src/command/opening.rs
+++ b/src/command/opening.rs
@@ -19,7 +19,7 @@
 use tulipfall::input::Input;
 use tulipfall::interface::Micros;
 use tulipfall::net::inbound::Inbound;
-use tulipfall::retry::{until_works, until_works_blocking};
+use tulipfall::retry::{retry_transient, retry_transient_blocking};
 use tulipfall::standing::{Phase, Standing};
 use tulipfall::store::{Journal, Owner, own};
 
@@ -32,7 +32,7 @@
 
 /// The event loop.
 pub fn event_loop() -> std::io::Result<Runtime> {
-    until_works_blocking("event loop", || {
+    retry_transient_blocking("event loop", || {
         let build = || Builder::new_current_thread().enable_all().build();
         // The handlers of signals are set up inside, which panics where no descriptor is to be had.
         catch_unwind(AssertUnwindSafe(build)).unwrap_or_else(|_| Err(nix::errno::Errno::EMFILE.into()))
@@ -68,7 +68,7 @@
     state: &Path, relay: &str, standing: &Standing,
 ) -> Result<(Clock, Option<ClockAnchor>), Failure> {
     let folder = state.display();
-    let earlier = until_works("clock", standing, async || ClockAnchor::read(state)).await;
+    let earlier = retry_transient("clock", standing, async || ClockAnchor::read(state)).await;
     let earlier = earlier.map_err(|error| format!("{folder}: {error}"))?;
     if let Some(other) = earlier.as_ref().map(ClockAnchor::relay).filter(|other| *other != relay) {
         return Err(
@@ -93,7 +93,7 @@
         let bound = listener.local_addr()?;
         Ok::<_, std::io::Error>((listener, bound))
     };
-    let bound = until_works(&what, standing, bind).await;
+    let bound = retry_transient(&what, standing, bind).await;
     let (listener, bound) = bound.map_err(|error| format!("{what}: {error}"))?;
     // Told, as port 0 lets the system choose one.
     info!("listening on {bound}");
@@ -115,17 +115,17 @@
     let Taken { owner, told } = if from_other {
         take_over(&config.state, &config.name, clock, standing).await?
     } else {
-        let owner = until_works("state folder", standing, async || own(&config.state)).await;
+        let owner = retry_transient("state folder", standing, async || own(&config.state)).await;
         let owner = owner.map_err(|error| format!("{folder}: {error}"))?;
         let other = || format!("{folder}: another process uses this state folder");
         Taken { owner: owner.ok_or_else(other)?, told: None }
     };
     if let Some(anchor) = anchor {
-        let kept = until_works("clock", standing, async || anchor.write(&config.state)).await;
+        let kept = retry_transient("clock", standing, async || anchor.write(&config.state)).await;
         kept.map_err(|error| format!("{folder}: {error}"))?;
     }
     let open = async || Journal::open(&config.state, config.journal_room());
-    let (journal, _) = until_works("journal", standing, open).await?;
+    let (journal, _) = retry_transient("journal", standing, open).await?;
     Ok(OpenState { owner, journal, told })
 }
 
@@ -139,7 +139,7 @@
     let by = clock.instant(clock.now() + ANSWER_FOR);
     let refuse = async {
         while let Some(input) = inputs.recv().await {
-            if let Input::Handed(_, _, reply) = input {
+            if let Input::Submitted(_, _, reply) = input {
                 let _ = reply.send(Answer::Refused(STOPPING.into(), None));
             }
         }
--- a/src/command/reload.rs
+++ b/src/command/reload.rs
@@ -7,8 +7,8 @@
 use tracing::{info, warn};
 
 use tulipfall::config::{Config, ConfigError};
-use tulipfall::input::{Input, Retuned};
-use tulipfall::retry::Retries;
+use tulipfall::input::{Input, ReloadedSettings};
+use tulipfall::retry::RetryBackoff;
 
 /// Where discovery is asked and where notices go, as texts.
 pub fn addresses(config: &Config) -> [Option<Arc<str>>; 2] {
@@ -20,7 +20,7 @@
     /// The file as it counted at the start, for what only a start takes on.
     pub start: Config,
     /// What was last taken on of its settings.
-    pub last: Option<Retuned>,
+    pub last: Option<ReloadedSettings>,
     pub to: [watch::Sender<Option<Arc<str>>>; 2],
     pub relays: watch::Sender<Vec<SocketAddr>>,
     pub inputs: mpsc::Sender<Input>,
@@ -40,7 +40,7 @@
         if self.last.as_ref().unwrap_or(&self.start.retuned(&self.start)) != &retuned {
             // Inputs wait for the runtime, which this task drives too.
             let (inputs, retuned) = (self.inputs.clone(), Box::new(retuned.clone()));
-            tokio::spawn(async move { inputs.send(Input::Retuned(retuned)).await });
+            tokio::spawn(async move { inputs.send(Input::SettingsReloaded(retuned)).await });
         }
         self.last = Some(retuned);
         for (address, to) in addresses(&new).into_iter().zip(&self.to) {
@@ -59,7 +59,7 @@
 /// The tries of one reload: a file that cannot be read for a moment is read again, while the relay serves.
 #[derive(Default)]
 pub struct Reread {
-    retries: Retries,
+    retries: RetryBackoff,
     again_at: Option<tokio::time::Instant>,
 }
 
@@ -77,7 +77,8 @@
         &mut self, load: impl FnOnce() -> Result<Config, ConfigError>,
     ) -> Option<Result<Config, ConfigError>> {
         let read = load();
-        let interval = read.as_ref().err().and_then(|error| self.retries.after("configuration", error));
+        let interval =
+            read.as_ref().err().and_then(|error| self.retries.next_interval("configuration", error));
         self.again_at = interval.map(|interval| tokio::time::Instant::now() + interval);
         interval.is_none().then_some(read)
     }
--- a/src/command/run.rs
+++ b/src/command/run.rs
@@ -28,7 +28,7 @@
 use tulipfall::net::outbound::Outbound;
 use tulipfall::net::{Protocol, discovery, door};
 use tulipfall::recording::{self, Outbox};
-use tulipfall::retry::{Retries, until_works, until_works_blocking};
+use tulipfall::retry::{RetryBackoff, retry_transient, retry_transient_blocking};
 use tulipfall::rules::Relay;
 use tulipfall::runtime::{End, Runtime};
 use tulipfall::standing::{Phase, Standing};
@@ -54,7 +54,7 @@
 
 /// Runs a relay until it is stopped. `load` reads the configuration, and is told whether it does so again.
 pub fn start(load: impl Fn(bool) -> Result<Config, ConfigError>) -> Result<(), Failure> {
-    let config = until_works_blocking("configuration", || load(false))?;
+    let config = retry_transient_blocking("configuration", || load(false))?;
     event_loop()?.block_on(run(config, load))
 }
 
@@ -73,7 +73,7 @@
     // Open before the replay: operators hear then that it starts.
     if let Some(ops) = config.ops {
         tokio::select! {
-            opened = until_works("ops", &standing, async || door::open(ops, standing.clone(), clock)) => {
+            opened = retry_transient("ops", &standing, async || door::open(ops, standing.clone(), clock)) => {
                 opened.map_err(|error| format!("ops {ops}: {error}"))?;
             }
             () = signals.stop() => return Ok(()),
@@ -324,13 +324,13 @@
 async fn open_to_successors(
     state: &Path, name: String, clock: Clock, inputs: mpsc::Sender<Input>, links: mpsc::Sender<Successor>,
 ) {
-    let mut retries = Retries::default();
+    let mut retries = RetryBackoff::default();
     loop {
         let error = match link::listen(state) {
             Ok(listener) => return offer(listener, name, clock, inputs, links).await,
             Err(error) => error,
         };
-        let Some(interval) = retries.after("handover", &error) else {
+        let Some(interval) = retries.next_interval("handover", &error) else {
             return warn!("no process can take over while this one runs: {error}");
         };
         tokio::time::sleep(interval).await;
@@ -344,7 +344,7 @@
         let bound = listener.local_addr()?;
         Ok::<_, std::io::Error>((TcpListener::from_std(listener.try_clone()?)?, bound))
     };
-    let (adopted, bound) = until_works_blocking("listening socket", adopted)?;
+    let (adopted, bound) = retry_transient_blocking("listening socket", adopted)?;
     info!("listening on {bound}");
     Ok(adopted)
 }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::retry::MayPass;
+use crate::retry::RetryableError;
 
 /// A configuration that cannot be used.
 #[derive(Debug, thiserror::Error)]
@@ -33,10 +33,10 @@
     },
 }
 
-impl MayPass for ConfigError {
-    fn may_pass(&self, elapsed: Duration) -> bool {
+impl RetryableError for ConfigError {
+    fn is_retryable(&self, elapsed: Duration) -> bool {
         match self {
-            ConfigError::Unreadable { error, .. } => error.may_pass(elapsed),
+            ConfigError::Unreadable { error, .. } => error.is_retryable(elapsed),
             ConfigError::File { .. } | ConfigError::Key { .. } => false,
         }
     }
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Map, Value};
 
-use crate::input::Retuned;
+use crate::input::ReloadedSettings;
 use crate::interface::Settings;
 
 use super::Config;
@@ -38,7 +38,7 @@
 impl Config {
     /// The settings that a process started with `start` applies at a reload: all but those on which its connections,
     /// its peers and the destination set were built.
-    pub fn retuned(&self, start: &Config) -> Retuned {
+    pub fn retuned(&self, start: &Config) -> ReloadedSettings {
         let fixed = start.settings.clone();
         let settings = Settings {
             kinds: fixed.kinds,
@@ -56,7 +56,11 @@
             slots: self.settings.slots.min(fixed.slots),
             ..self.settings.clone()
         };
-        Retuned { settings, classes: self.names.classes().to_vec(), tenants: self.names.tenants().to_vec() }
+        ReloadedSettings {
+            settings,
+            classes: self.names.classes().to_vec(),
+            tenants: self.names.tenants().to_vec(),
+        }
     }
 
     /// Checks that this file, read while a process runs, is as complete as the one at the start. A key that is now
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -1,6 +1,6 @@
-//! The exchange: the one object in which the client's side and the endpoints' side meet, and what passes
-//! between the fronts and the runtime about it. Owns the shape of a request, an attempt and its end, and the
-//! clock. It must never know a wire, decide anything or do I/O.
+//! The exchange: the object shared by the client side and the endpoint side of a message, and the data that the fronts
+//! and the runtime pass to each other about it: the request, its attempts and their ends. This module has no wire format,
+//! no decisions and no I/O.
 
 use std::borrow::Cow;
 use std::sync::Arc;
@@ -14,21 +14,21 @@
 use crate::interface::{Decision, Effect, Micros, Outcome, Report, TargetId};
 use crate::wire::RawEntry;
 
-/// The key by which a destination recognises the repeats of a message of a keyed class. It is passed on unchanged.
+/// The key by which a destination recognises retries of a message of a keyed class. It is passed on unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct IdempotencyKey(Box<str>);
 
-/// Why a text is no idempotency key.
+/// Reason why a text is not a valid idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum IdempotencyKeyError {
-    /// It has no character.
+    /// The text is empty.
     #[error("Idempotency-Key is empty")]
     Empty,
-    /// It is longer than [`IdempotencyKey::MAX_BYTES`].
+    /// The text is longer than [`IdempotencyKey::MAX_BYTES`].
     #[error("Idempotency-Key is longer than {} bytes", IdempotencyKey::MAX_BYTES)]
     TooLong,
-    /// It has a character that is not printable ASCII, so that a header could not carry it unchanged.
+    /// The text has a character that is not printable ASCII, which a header could not carry unchanged.
     #[error("Idempotency-Key has a character that is not printable ASCII")]
     NotPrintable,
 }
@@ -37,7 +37,7 @@
     /// Length of the longest key, in bytes.
     pub const MAX_BYTES: usize = 255;
 
-    /// The key, as it stands in a header.
+    /// The key as written in the header.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -72,127 +72,132 @@
     }
 }
 
-/// A message on its way. Its deadline is absolute and travels with it.
+/// A message in the relay. Its deadline is absolute and is passed on with it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Exchange {
     /// The client's id, passed on unchanged.
     pub id: String,
-    /// Its class, by name: which terms that stands for is settled as it is taken on.
+    /// Name of the message's class. The class's settings are looked up when the message is accepted.
     pub class: String,
-    /// Its tenant.
+    /// Name of the message's tenant, if it has one.
     pub tenant: Option<String>,
-    /// It may be delivered until then.
+    /// Deadline for delivery, in microseconds of the relay's clock.
     pub due: Micros,
-    /// Number of its destination.
+    /// Number of the destination.
     pub destination: i64,
-    /// Its idempotency key, if its client gave one. A process of an earlier build hands over none.
+    /// The idempotency key, if the client gave one. Earlier builds do not hand it over.
     #[serde(default)]
     pub idempotency_key: Option<IdempotencyKey>,
-    /// The body, passed on unchanged. Between processes it travels beside the rest.
+    /// The body, passed on unchanged. A handover between processes sends it apart from the other fields.
     #[serde(skip)]
     pub body: Bytes,
 }
 
-/// What the client's side is told of a message handed in.
+/// Answer of the runtime to a submitted message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// Taken on: the relay owes it its end.
-    Taken,
-    /// It was taken on before, by whomever it was handed in then.
-    TakenBefore,
-    /// Fail-fast: handing it in again is harmless, best after so long.
+    /// Accepted: the relay will deliver the message or report that it did not.
+    #[serde(rename = "Taken")]
+    Accepted,
+    /// A message with this id was accepted before, whichever client submitted it.
+    #[serde(rename = "TakenBefore")]
+    AlreadyAccepted,
+    /// Refused at once, with the reason. Submitting the message again is harmless, preferably after this delay in microseconds.
     Refused(Cow<'static, str>, Option<Micros>),
-    /// Its class went while it was on its way.
-    Unknown,
-    /// Given up at once; nobody hands it in again.
+    /// The message's class was removed from the settings before the message arrived here.
+    #[serde(rename = "Unknown")]
+    UnknownClass,
+    /// Given up at once, with the reason. The message must not be submitted again.
     Failed(Cow<'static, str>),
 }
 
-/// One attempt of an exchange.
+/// One attempt to deliver an exchange.
 #[derive(Clone, Debug)]
 pub struct OutboundCall {
-    /// What is sent.
+    /// The message to send.
     pub exchange: Arc<Exchange>,
-    /// Which attempt, counted from 0.
+    /// Number of the attempt, counted from 0.
     pub attempt: u32,
     /// The endpoint.
     pub target: TargetId,
-    /// Where it listens, as far as this relay was told.
+    /// Address of the endpoint, as known to this relay.
     pub address: Arc<str>,
-    /// What shares its destination's limit and told waits: the number of the module's lane.
-    pub lane: usize,
-    /// What a repeat of the message does.
+    /// Index of the send path, whose calls share a limit and server-requested waits.
+    pub path: usize,
+    /// Effect of a retry of the message.
     pub effect: Effect,
-    /// Its bytes go before then or not at all.
+    /// The request is sent before this time or not at all, in microseconds of the relay's clock.
     pub start_by: Micros,
-    /// The relay stops waiting then.
+    /// Time at which the relay stops waiting for the answer, in microseconds of the relay's clock.
     pub deadline: Micros,
 }
 
-/// How an attempt was answered, as far as that is known before its end.
+/// Answer to an attempt that has not ended yet, because the answer may be a copy of an earlier one.
 #[derive(Clone, Debug)]
-pub struct Answered {
+pub struct ProvisionalAnswer {
     /// The message's id.
     pub id: String,
-    /// Which attempt.
+    /// Number of the attempt.
     pub attempt: u32,
     /// The endpoint.
     pub target: TargetId,
-    /// What the answer means if it is the attempt's own.
+    /// Outcome of the attempt if the answer belongs to it.
     pub outcome: Outcome,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub began: Micros,
-    /// When the whole answer had come.
+    /// When the complete answer had arrived.
     pub at: Micros,
-    /// What the endpoint told of its limit.
+    /// The endpoint's report on its limit.
     pub report: Report,
 }
 
-/// What was heard of an attempt that has not ended, where it may end the message.
+/// What the answer received so far means for the message of an attempt that has not ended, if it may end the message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CallHeard {
+pub struct ProvisionalDecision {
     /// The message's id.
     pub id: String,
-    /// Which attempt.
+    /// Number of the attempt.
     pub attempt: u32,
-    /// What it means for the message if nothing more comes.
-    pub verdict: Decision,
+    /// The decision on the message if no more of the answer arrives.
+    #[serde(rename = "verdict")]
+    pub decision: Decision,
 }
 
-/// How an attempt ended.
+/// End of an attempt.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(from = "WrittenCallEnd", into = "WrittenCallEnd")]
 pub struct CallEnd {
     /// The message's id.
     pub id: String,
-    /// Which attempt.
+    /// Number of the attempt.
     pub attempt: u32,
     /// The endpoint.
     pub target: TargetId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// What that means for the message.
-    pub verdict: Decision,
-    /// When it was sent.
+    /// What the end means for the message.
+    pub decision: Decision,
+    /// When the attempt was sent.
     pub began: Micros,
-    /// When its whole answer had come, if one did.
+    /// When the complete answer had arrived, if one did.
     pub answered: Option<Micros>,
-    /// What the endpoint told of its limit.
+    /// The endpoint's report on its limit.
     pub report: Report,
-    /// What was heard of it.
+    /// Evidence of the outcome, for the record.
     pub evidence: Evidence,
 }
 
-/// [`CallEnd`] as processes tell each other, earlier builds included, which know `over` and no verdict.
+/// Serialized form of [`CallEnd`] between processes. Earlier builds read and write `over` instead of `verdict`.
 #[derive(Serialize, Deserialize)]
 struct WrittenCallEnd {
     id: String,
     attempt: u32,
     target: TargetId,
     outcome: Outcome,
-    over: bool,
-    #[serde(default)]
-    verdict: Option<Decision>,
+    #[serde(rename = "over")]
+    ended: bool,
+    #[serde(default, rename = "verdict")]
+    decision: Option<Decision>,
     began: Micros,
     #[serde(default)]
     answered: Option<Micros>,
@@ -202,52 +207,63 @@
 
 impl From<WrittenCallEnd> for CallEnd {
     fn from(end: WrittenCallEnd) -> Self {
-        let WrittenCallEnd { id, attempt, target, outcome, over, verdict, began, answered, report, evidence } =
-            end;
-        let verdict = verdict.unwrap_or(if over { Decision::EndedElsewhere } else { outcome.verdict() });
-        CallEnd { id, attempt, target, outcome, verdict, began, answered, report, evidence }
+        let WrittenCallEnd {
+            id,
+            attempt,
+            target,
+            outcome,
+            ended,
+            decision,
+            began,
+            answered,
+            report,
+            evidence,
+        } = end;
+        let decision = decision.unwrap_or(if ended { Decision::EndedElsewhere } else { outcome.verdict() });
+        CallEnd { id, attempt, target, outcome, decision, began, answered, report, evidence }
     }
 }
 
 impl From<CallEnd> for WrittenCallEnd {
     fn from(end: CallEnd) -> Self {
-        let CallEnd { id, attempt, target, outcome, verdict, began, answered, report, evidence } = end;
-        let (over, verdict) = (verdict.is_ended(), Some(verdict));
-        WrittenCallEnd { id, attempt, target, outcome, over, verdict, began, answered, report, evidence }
+        let CallEnd { id, attempt, target, outcome, decision, began, answered, report, evidence } = end;
+        let (ended, decision) = (decision.is_ended(), Some(decision));
+        WrittenCallEnd { id, attempt, target, outcome, ended, decision, began, answered, report, evidence }
     }
 }
 
-/// An entry of the destination set, with the address that this relay reaches it by.
+/// An endpoint of the destination set, with the address by which this relay reaches it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its entry, named by the endpoint's `id`.
+    /// The set's entry of the endpoint, identified by `id`.
     pub entry: RawEntry,
-    /// The endpoint's `id`.
+    /// Id of the endpoint.
     pub id: String,
-    /// Its address.
+    /// Address of the endpoint.
     pub address: Arc<str>,
 }
 
-/// The end of a message that was taken on and not delivered, as the platform is told it.
+/// Non-delivery report: tells the platform that an accepted message ended without a delivery.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Notice {
+pub struct NonDeliveryReport {
     /// The message's id.
     pub id: String,
-    /// Handed back, where handing it in again is harmless; else given up.
+    /// The message is handed back, because submitting it again is harmless; otherwise it is given up.
     pub handed_back: bool,
-    /// Advice to the client, in milliseconds.
+    /// Advised delay before the client submits the message again, in milliseconds.
     pub retry_in_ms: Option<u64>,
 }
 
-/// A receipt that was given or got, kept so that a duplicate is answered with the same one.
+/// A receipt that was sent or received, kept so that a duplicate of its request gets the same receipt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Receipt {
-    /// Whom it concerns and what, as one text; a line end in it keeps it apart from ids of messages.
+    /// Partner and message of the receipt in one text. It contains a line end, which no message id does, so that the two
+    /// cannot collide.
     pub key: String,
-    /// When it was made or came.
+    /// When the receipt was made or received.
     pub at: Micros,
-    /// It is remembered until then.
+    /// Time until which it is kept.
     pub until: Micros,
-    /// Its bytes.
+    /// The receipt's bytes.
     pub bytes: Bytes,
 }
--- a/src/fleet/distribution/mod.rs
+++ b/src/fleet/distribution/mod.rs
@@ -109,7 +109,7 @@
         match inputs.try_reserve() {
             Ok(permit) => {
                 let members = self.listing.update(self.node.set(), std::mem::take(&mut self.untold));
-                permit.send(Input::Listed(ListForm::Changes, members));
+                permit.send(Input::DestinationsUpdated(ListForm::Changes, members));
                 info!("destination set {} is in force", self.node.set().version());
                 self.offer_at = Micros::MAX;
             }
--- a/src/fleet/kept.rs
+++ b/src/fleet/kept.rs
@@ -9,7 +9,7 @@
 use serde::de::DeserializeOwned;
 use tracing::warn;
 
-use crate::retry::Retries;
+use crate::retry::RetryBackoff;
 
 /// A start waits so long for a file that cannot be read for a moment.
 const READ_WITHIN: Duration = Duration::from_secs(2);
@@ -29,13 +29,13 @@
 
 fn read_bytes(file: &Path) -> Result<Vec<u8>> {
     let (what, began) = (file.display().to_string(), Instant::now());
-    let mut retries = Retries::default();
+    let mut retries = RetryBackoff::default();
     loop {
         let error = match std::fs::read(file) {
             Ok(bytes) => return Ok(bytes),
             Err(error) => error,
         };
-        match retries.after(&what, &error) {
+        match retries.next_interval(&what, &error) {
             Some(interval) if began.elapsed() < READ_WITHIN => std::thread::sleep(interval),
             _ => return Err(error),
         }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -36,7 +36,7 @@
 use crate::exchange::{Clock, Member};
 use crate::input::Input;
 use crate::interface::{Hearsay, Micros, RuleFigures};
-use crate::retry::until_works;
+use crate::retry::retry_transient;
 use crate::standing::Standing;
 
 use control::{ASKED, Asked, accept, listen, serve};
@@ -159,10 +159,10 @@
         let bound = socket.local_addr()?;
         Ok::<_, std::io::Error>((socket, bound))
     };
-    let (socket, bound) = until_works("notes", &standing, bind).await?;
+    let (socket, bound) = retry_transient("notes", &standing, bind).await?;
     info!("notes between relays on {bound}");
     let control = match setup.control.as_deref() {
-        Some(path) => Some(until_works("control socket", &standing, async || listen(path)).await?),
+        Some(path) => Some(retry_transient("control socket", &standing, async || listen(path)).await?),
         None => None,
     };
     let link = Link::new(config, now);
@@ -324,16 +324,16 @@
             out.extend(permits.say_earlier(self.link.keys()));
             for given in permits.take_given() {
                 // A relay that is behind with its work hears less; its own pace holds then.
-                let _ = self.inputs.try_send(Input::Permitted(given));
+                let _ = self.inputs.try_send(Input::Granted(given));
             }
             for (destination, waits) in permits.take_waits() {
-                let _ = self.inputs.try_send(Input::Waits(destination, waits));
+                let _ = self.inputs.try_send(Input::MinimumWaits(destination, waits));
             }
         }
         for handed in self.repeats.iter_mut().flat_map(repeat::Node::take_handed).collect::<Vec<_>>() {
             // What the relay is behind with is handed over later: nobody else has it.
-            if let (Err(TrySendError::Full(Input::Repeats(handed))), Some(repeats)) =
-                (self.inputs.try_send(Input::Repeats(handed)), &mut self.repeats)
+            if let (Err(TrySendError::Full(Input::RetryTokens(handed))), Some(repeats)) =
+                (self.inputs.try_send(Input::RetryTokens(handed)), &mut self.repeats)
             {
                 repeats.not_taken(handed);
             }
@@ -406,7 +406,7 @@
             let heeded = news.iter().filter_map(|fact| facts.ledger().heeded(now, fact));
             for hearsay in heeded.filter_map(|fact| hearsay(&fact)) {
                 // A relay that is behind with its work hears less of others.
-                let _ = self.inputs.try_send(Input::Told(hearsay));
+                let _ = self.inputs.try_send(Input::PeerReport(hearsay));
             }
         }
         taken
--- a/src/handover/link.rs
+++ b/src/handover/link.rs
@@ -12,7 +12,7 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio_util::codec::{Decoder, Encoder, Framed};
 
-use crate::exchange::{Answer, CallEnd, CallHeard, Exchange};
+use crate::exchange::{Answer, CallEnd, Exchange, ProvisionalDecision};
 use crate::handed::Handed;
 use crate::net::http::MOST_BODY;
 use crate::net::stream::Stream;
@@ -52,7 +52,7 @@
     /// The client of a message could not be told that it was taken on.
     Withdrawn(String),
     /// Something was heard of a call on the old one's sockets that may end its message.
-    Heard(CallHeard),
+    Heard(ProvisionalDecision),
     /// A call on the old one's sockets ended.
     Ended(CallEnd),
     /// The new one calls it off: the message, and which attempt.
--- a/src/handover/new.rs
+++ b/src/handover/new.rs
@@ -19,7 +19,7 @@
 use crate::handed::{Handed, OutNow};
 use crate::input::Input;
 use crate::interface::{Micros, Outcome, Report};
-use crate::retry::until_works;
+use crate::retry::retry_transient;
 use crate::standing::Standing;
 use crate::store::{Mark, Owner, mark, own};
 
@@ -88,11 +88,11 @@
 }
 
 async fn own_when_possible(folder: &Path, standing: &Standing) -> std::io::Result<Option<Owner>> {
-    until_works("state folder", standing, async || own(folder)).await
+    retry_transient("state folder", standing, async || own(folder)).await
 }
 
 async fn mark_when_possible(folder: &Path, standing: &Standing) -> std::io::Result<Mark> {
-    until_works("state folder", standing, async || mark(folder)).await
+    retry_transient("state folder", standing, async || mark(folder)).await
 }
 
 async fn pause(clock: Clock) {
@@ -186,15 +186,15 @@
                         let _ = say.send(Reply::Answer(number, answer));
                     }
                 });
-                Input::Handed(Arc::new(exchange), None, reply)
+                Input::Submitted(Arc::new(exchange), None, reply)
             }
             Some(Ok(Word::Ended(end))) => {
                 left.remove(&(end.id.clone(), end.attempt));
-                Input::Ended(end)
+                Input::CallEnded(end)
             }
-            Some(Ok(Word::Heard(heard))) => Input::Heard(heard),
+            Some(Ok(Word::Heard(heard))) => Input::ProvisionalDecision(heard),
             Some(Ok(Word::Withdrawn(id))) => Input::Withdrawn(id),
-            Some(Ok(Word::Acknowledged(ids))) => Input::Acknowledged(ids),
+            Some(Ok(Word::Acknowledged(ids))) => Input::ReportsAcknowledged(ids),
             Some(Ok(Word::Clients(count))) => {
                 clients.store(places(most_clients, count), Ordering::Relaxed);
                 continue;
@@ -220,13 +220,13 @@
             attempt,
             target,
             outcome,
-            verdict: outcome.verdict(),
+            decision: outcome.verdict(),
             began,
             answered: None,
             report,
             evidence,
         };
-        if inputs.send(Input::Ended(end)).await.is_err() {
+        if inputs.send(Input::CallEnded(end)).await.is_err() {
             return;
         }
     }
--- a/src/handover/old.rs
+++ b/src/handover/old.rs
@@ -73,7 +73,9 @@
         let mut action = old.take(OldEvent::Hello);
         let (state, told) = oneshot::channel();
         let (accept, accepted) = oneshot::channel();
-        if action != OldAction::Offer || inputs.send(Input::Offer(Offer { state, accepted })).await.is_err() {
+        if action != OldAction::Offer
+            || inputs.send(Input::HandoverOffered(Offer { state, accepted })).await.is_err()
+        {
             return;
         }
         // The runtime has stopped from here on, until it is accepted or `accept` is dropped.
@@ -132,25 +134,25 @@
         tokio::select! {
             input = inputs.recv() => match input {
                 None => return,
-                Some(Input::Handed(_, _, reply)) if alone => {
+                Some(Input::Submitted(_, _, reply)) if alone => {
                     drop(reply.send(Answer::Refused(ALONE.into(), None)));
                 }
-                Some(Input::Handed(exchange, _, reply)) => {
+                Some(Input::Submitted(exchange, _, reply)) => {
                     asked += 1;
                     waiting.insert(asked, reply);
                     let _ = link.send(&Word::Handed(asked, (*exchange).clone())).await;
                 }
-                Some(Input::Heard(heard)) if hears => {
+                Some(Input::ProvisionalDecision(heard)) if hears => {
                     let _ = link.send(&Word::Heard(heard)).await;
                 }
-                Some(Input::Ended(end)) => {
+                Some(Input::CallEnded(end)) => {
                     out.remove(&(end.id.clone(), end.attempt));
                     let _ = link.send(&Word::Ended(end)).await;
                 }
                 Some(Input::Withdrawn(id)) => {
                     let _ = link.send(&Word::Withdrawn(id)).await;
                 }
-                Some(Input::Acknowledged(ids)) => {
+                Some(Input::ReportsAcknowledged(ids)) => {
                     let _ = link.send(&Word::Acknowledged(ids)).await;
                 }
                 Some(Input::Stop(last)) => until = last + STOP_MORE,
--- a/src/input.rs
+++ b/src/input.rs
@@ -1,60 +1,60 @@
-//! What the fronts, the fleet, the record and another process tell the runtime. Owns the shape of it. It decides nothing.
+//! Inputs of the runtime, sent by the fronts, the fleet, the record and another process of the same relay.
 
 use std::sync::Arc;
 
 use record::model::Late;
 use tokio::sync::oneshot;
 
-use crate::exchange::{Answer, Answered, CallEnd, CallHeard, Exchange, Member, Receipt};
+use crate::exchange::{Answer, CallEnd, Exchange, Member, ProvisionalAnswer, ProvisionalDecision, Receipt};
 use crate::handed::Offer;
 use crate::interface::{Hearsay, ListForm, Micros, Settings};
 
-/// Settings that were read again and can be taken on.
+/// Settings that were read again and can be applied.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Retuned {
-    /// The module's, checked.
+pub struct ReloadedSettings {
+    /// Settings of the decision module, validated.
     pub settings: Settings,
-    /// The names of its classes, in order.
+    /// Names of the message classes, in order.
     pub classes: Vec<String>,
-    /// The names of its tenants, in order.
+    /// Names of the tenants, in order.
     pub tenants: Vec<String>,
 }
 
-/// What the fronts and the record tell the runtime.
+/// An input of the runtime.
 #[derive(Debug)]
 pub enum Input {
-    /// A client handed in a message and waits for the answer; the receipt it will be given, where its front
-    /// gives one, is stored with it.
-    Handed(Arc<Exchange>, Option<Receipt>, oneshot::Sender<Answer>),
-    /// The client of a message could not be told that it was taken on.
+    /// A client submitted a message and waits for the answer. If the message's front issues receipts, the receipt that the
+    /// client will get is stored with the message.
+    Submitted(Arc<Exchange>, Option<Receipt>, oneshot::Sender<Answer>),
+    /// The answer that accepts this message could not be delivered to its client.
     Withdrawn(String),
     /// An attempt ended.
-    Ended(CallEnd),
-    /// Something was heard of an attempt that may end its message; [`Input::Ended`] follows.
-    Heard(CallHeard),
-    /// An attempt was answered, and it is still to settle whether the answer is its own: [`Input::Ended`] follows.
-    Answered(Answered),
-    /// Peers say something of a destination.
-    Told(Hearsay),
-    /// A steward spoke of a destination.
-    Permitted(permits::node::Given),
-    /// A steward said how long what waits for a destination waits at the least.
-    Waits(i64, overload::waits::Waits),
-    /// The fleet's budget lets repeats start.
-    Repeats(repeats::node::Handed),
-    /// News of the destination set.
-    Listed(ListForm, Vec<Member>),
-    /// A receipt came for a message that was sent; with what it proves beside the message's end, if it ended no
-    /// call.
+    CallEnded(CallEnd),
+    /// The answer received so far to an attempt may end its message; [`Input::CallEnded`] follows.
+    ProvisionalDecision(ProvisionalDecision),
+    /// An attempt was answered, but the answer may be a copy of an earlier one; [`Input::CallEnded`] follows.
+    ProvisionalAnswer(ProvisionalAnswer),
+    /// Peers report the state of a destination.
+    PeerReport(Hearsay),
+    /// A limit coordinator granted calls to a destination.
+    Granted(permits::node::Given),
+    /// A limit coordinator sent the minimum waits of messages to a destination, by priority.
+    MinimumWaits(i64, overload::waits::Waits),
+    /// The fleet's retry budget permits retries.
+    RetryTokens(repeats::node::Handed),
+    /// The destination set, or a part of it, changed.
+    DestinationsUpdated(ListForm, Vec<Member>),
+    /// A receipt arrived for a message that was sent. If it ended no call, it carries what it proves apart from the message's
+    /// end.
     Receipt(Receipt, Option<Late>),
-    /// The record holds these entries.
-    Recorded(Vec<u64>),
-    /// The platform has acknowledged these notices.
-    Acknowledged(Vec<String>),
-    /// Other settings hold from now on.
-    Retuned(Box<Retuned>),
-    /// Another process would take over.
-    Offer(Offer),
-    /// The process is to stop; the last call must have ended by then.
+    /// The record has stored the entries with these numbers.
+    RecordsWritten(Vec<u64>),
+    /// The platform has acknowledged the non-delivery reports of these messages.
+    ReportsAcknowledged(Vec<String>),
+    /// Other settings apply from now on.
+    SettingsReloaded(Box<ReloadedSettings>),
+    /// Another process offers to take over.
+    HandoverOffered(Offer),
+    /// The process is to stop; the last call must have ended by this time, in microseconds of the relay's clock.
     Stop(Micros),
 }
--- a/src/net/clearance.rs
+++ b/src/net/clearance.rs
@@ -76,7 +76,7 @@
     /// Whether a call may go at this moment.
     pub fn allows(&self, call: &OutboundCall) -> bool {
         let (now, standing) = (self.clock.now(), self.standing());
-        let waits = standing.waits.get(&call.lane).is_some_and(|until| now < *until);
+        let waits = standing.waits.get(&call.path).is_some_and(|until| now < *until);
         let closed = standing.closed.contains_key(&call.target);
         let late = now >= call.start_by.min(call.deadline) || standing.stop.is_some_and(|stop| now >= stop);
         !waits && !closed && !late
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -234,7 +234,7 @@
         progress.answered = Some(answered.at);
         // It binds from now on, however long the answer takes to settle.
         if let (Some(wait), Some(call)) = (progress.wait, call) {
-            self.clearance.wait(call.lane, answered.at + wait);
+            self.clearance.wait(call.path, answered.at + wait);
         }
         Ok(answered)
     }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -17,7 +17,7 @@
 use tracing::{debug, info, warn};
 
 use crate::draw;
-use crate::exchange::{Clock, Member, Notice};
+use crate::exchange::{Clock, Member, NonDeliveryReport};
 use crate::input::Input;
 use crate::interface::{ListForm, Listed, Micros};
 use crate::wire::RawEntry;
@@ -219,7 +219,7 @@
                 revision = told.revision;
                 let form = if told.complete { ListForm::All } else { ListForm::Changes };
                 if (told.complete || !told.members.is_empty())
-                    && inputs.send(Input::Listed(form, told.members)).await.is_err()
+                    && inputs.send(Input::DestinationsUpdated(form, told.members)).await.is_err()
                 {
                     return;
                 }
@@ -251,7 +251,7 @@
 /// Takes notices to the newest address, each until it is acknowledged. Each request has a connection of its own, so that
 /// an acknowledgement which comes twice is none of the next request's.
 pub async fn notify(
-    clock: Clock, mut address: Address, mut notices: mpsc::UnboundedReceiver<Notice>,
+    clock: Clock, mut address: Address, mut notices: mpsc::UnboundedReceiver<NonDeliveryReport>,
     inputs: mpsc::Sender<Input>,
 ) {
     let mut warn_at = Micros::MIN;
@@ -285,13 +285,13 @@
             }
         }
         let ids = pending.drain(..).map(|notice| notice.id).collect();
-        if inputs.send(Input::Acknowledged(ids)).await.is_err() {
+        if inputs.send(Input::ReportsAcknowledged(ids)).await.is_err() {
             return;
         }
     }
 }
 
-fn line(notice: &Notice) -> String {
+fn line(notice: &NonDeliveryReport) -> String {
     let outcome = if notice.handed_back { "handed_back" } else { "given_up" };
     let mut object = json!({"message": notice.id, "outcome": outcome});
     if let (Some(ms), Some(object)) = (notice.retry_in_ms, object.as_object_mut()) {
--- a/src/net/inbound.rs
+++ b/src/net/inbound.rs
@@ -456,13 +456,13 @@
 async fn hand_in(exchange: Exchange, inbound: &Inbound) -> (Message, Option<String>) {
     let id = exchange.id.clone();
     let (reply, answer) = oneshot::channel();
-    if inbound.inputs.send(Input::Handed(Arc::new(exchange), None, reply)).await.is_err() {
+    if inbound.inputs.send(Input::Submitted(Arc::new(exchange), None, reply)).await.is_err() {
         return (Message::response(503, "stopped"), None);
     }
     match answer.await {
-        Ok(Answer::Taken) => (Message::response(202, ""), Some(id)),
+        Ok(Answer::Accepted) => (Message::response(202, ""), Some(id)),
         // Whoever hands in what is held already must not withdraw it by going away.
-        Ok(Answer::TakenBefore) => (Message::response(202, ""), None),
+        Ok(Answer::AlreadyAccepted) => (Message::response(202, ""), None),
         Ok(Answer::Refused(why, after)) => {
             debug!(message = id, why = &*why, after, "refused");
             let answer = Message::response(503, why.into_owned());
@@ -472,7 +472,7 @@
             };
             (answer, None)
         }
-        Ok(Answer::Unknown) => (Message::response(404, UNKNOWN_CLASS), None),
+        Ok(Answer::UnknownClass) => (Message::response(404, UNKNOWN_CLASS), None),
         Ok(Answer::Failed(why)) => {
             debug!(message = id, why = &*why, "failed at once");
             (Message::response(500, why.into_owned()), None)
--- a/src/net/outbound.rs
+++ b/src/net/outbound.rs
@@ -13,7 +13,7 @@
 use super::connections::{Connections, full};
 use super::http::{Message, Start};
 use super::progress::Progress;
-use crate::exchange::{Answered, CallEnd, Clock, Exchange, OutboundCall};
+use crate::exchange::{CallEnd, Clock, Exchange, OutboundCall, ProvisionalAnswer};
 use crate::input::Input;
 use crate::interface::{Micros, Outcome, Report, TargetId};
 use crate::runtime::Caller;
@@ -46,22 +46,22 @@
             Some(beside) => self.attempt_beside(&*beside, &call, called_off).await,
             None => self.attempt(&call, began, called_off).await,
         };
-        let Ended { outcome, verdict, report, progress } = ended;
+        let Ended { outcome, decision, report, progress } = ended;
         // Between here and the runtime's hearing of it nothing else is told, so that no call that the module decides on
         // knowing less finds this wait in its way again and again.
         if let Some(wait) = progress.wait {
-            self.connections.clearance().wait(call.lane, self.clock.now() + wait);
+            self.connections.clearance().wait(call.path, self.clock.now() + wait);
         }
         let report = Report { wait: progress.wait, ..report };
         let (id, attempt, target) = (call.exchange.id.clone(), call.attempt, call.target);
-        self.connections.counts().judged(verdict);
+        self.connections.counts().judged(decision);
         debug!(
             message = id,
             attempt,
             destination = call.exchange.destination,
             endpoint = &*call.address,
             ?outcome,
-            verdict = verdict.label(),
+            verdict = decision.label(),
             status = progress.first,
             heard = ?progress.heard,
             began,
@@ -73,8 +73,8 @@
             "attempt ended"
         );
         let (answered, evidence) = (progress.answered, progress.evidence());
-        let end = CallEnd { id, attempt, target, outcome, verdict, began, answered, report, evidence };
-        let _ = self.inputs.send(Input::Ended(end)).await;
+        let end = CallEnd { id, attempt, target, outcome, decision, began, answered, report, evidence };
+        let _ = self.inputs.send(Input::CallEnded(end)).await;
     }
 
     /// An attempt by the protocol beside the platform's, whose receipts alone prove a delivery.
@@ -95,7 +95,7 @@
             _ if !progress.heard.request_written => Outcome::ConnectFailed,
             outcome => outcome,
         };
-        Ended { outcome, verdict: outcome.verdict(), report: Report::default(), progress }
+        Ended { outcome, decision: outcome.verdict(), report: Report::default(), progress }
     }
 
     async fn attempt(&self, call: &OutboundCall, began: Micros, called_off: oneshot::Receiver<()>) -> Ended {
@@ -141,8 +141,9 @@
     async fn answered(&self, call: &OutboundCall, answer: &Message, (began, heard): (Micros, Micros)) {
         let outcome = read(answer, false, 0);
         let (id, attempt, target) = (call.exchange.id.clone(), call.attempt, call.target);
-        let answered = Answered { id, attempt, target, outcome, began, at: heard, report: reported(answer) };
-        let _ = self.inputs.send(Input::Answered(answered)).await;
+        let answered =
+            ProvisionalAnswer { id, attempt, target, outcome, began, at: heard, report: reported(answer) };
+        let _ = self.inputs.send(Input::ProvisionalAnswer(answered)).await;
     }
 }
 
@@ -156,7 +157,7 @@
 /// How an attempt ended.
 struct Ended {
     outcome: Outcome,
-    verdict: Decision,
+    decision: Decision,
     report: Report,
     progress: Progress,
 }
@@ -164,8 +165,8 @@
 impl Ended {
     /// With no whole answer.
     fn without_answer(outcome: Outcome, progress: Progress) -> Self {
-        let verdict = progress.heard.decision();
-        let outcome = match (outcome, verdict) {
+        let decision = progress.heard.decision();
+        let outcome = match (outcome, decision) {
             (_, Decision::Delivered) => Outcome::Ok,
             (_, Decision::EndedElsewhere | Decision::AttemptsExhausted { .. }) | (Outcome::Skipped, _) => {
                 Outcome::Skipped
@@ -175,17 +176,17 @@
             _ if !progress.heard.request_written => Outcome::ConnectFailed,
             (outcome, Decision::Pending { .. }) => outcome,
         };
-        Ended { outcome, verdict, report: Report::default(), progress }
+        Ended { outcome, decision, report: Report::default(), progress }
     }
 
     /// By an answer that came so long ago.
     fn by_answer(answer: &Message, age: Micros, progress: Progress) -> Self {
-        let verdict = progress.heard.decision();
-        if progress.heard.settlement == Settlement::UnsolicitedData || verdict == Decision::MayHaveEnded {
-            return Ended { outcome: Outcome::Spoilt, verdict, report: Report::default(), progress };
+        let decision = progress.heard.decision();
+        if progress.heard.settlement == Settlement::UnsolicitedData || decision == Decision::MayHaveEnded {
+            return Ended { outcome: Outcome::Spoilt, decision, report: Report::default(), progress };
         }
         let outcome = read(answer, progress.opened, age);
-        Ended { outcome, verdict, report: reported(answer), progress }
+        Ended { outcome, decision, report: reported(answer), progress }
     }
 }
 
--- a/src/net/progress.rs
+++ b/src/net/progress.rs
@@ -5,7 +5,7 @@
 use tokio::sync::mpsc;
 use verdict::{Decision, Extent, ReceivedAnswer};
 
-use crate::exchange::{CallHeard, OutboundCall};
+use crate::exchange::{OutboundCall, ProvisionalDecision};
 use crate::input::Input;
 use crate::interface::Micros;
 
@@ -58,14 +58,14 @@
 
     /// Tells what was heard so far, if it may end the message and was not told before. Whoever waits for more has told it before.
     pub async fn announce(&mut self) {
-        let verdict = self.heard.decision();
+        let decision = self.heard.decision();
         let Some(announcer) = self.announcer.as_mut() else { return };
-        if verdict.is_pending() || announcer.told == Some(verdict) {
+        if decision.is_pending() || announcer.told == Some(decision) {
             return;
         }
-        announcer.told = Some(verdict);
-        let heard = CallHeard { id: announcer.id.clone(), attempt: announcer.attempt, verdict };
-        let _ = announcer.inputs.send(Input::Heard(heard)).await;
+        announcer.told = Some(decision);
+        let heard = ProvisionalDecision { id: announcer.id.clone(), attempt: announcer.attempt, decision };
+        let _ = announcer.inputs.send(Input::ProvisionalDecision(heard)).await;
     }
 
     /// Takes bytes that came and are not the whole first line.
--- a/src/recording.rs
+++ b/src/recording.rs
@@ -17,7 +17,7 @@
 use crate::exchange::{Answer, Clock, Exchange};
 use crate::input::Input;
 use crate::interface::{Decision, Micros, Outcome, Settings};
-use crate::retry::{MayPass, until_works};
+use crate::retry::{RetryableError, retry_transient};
 use crate::standing::Standing as Process;
 use crate::store::{Heard, Journal, takeover};
 
@@ -166,17 +166,17 @@
     }
 }
 
-impl MayPass for OpenError {
+impl RetryableError for OpenError {
     /// A disk that is full for a moment, and a database that somebody else holds for a moment.
-    fn may_pass(&self, elapsed: Duration) -> bool {
+    fn is_retryable(&self, elapsed: Duration) -> bool {
         matches!(self.0, Failure::Busy(_) | Failure::Full(_)) && elapsed < OPEN_WITHIN
     }
 }
 
-impl MayPass for RecordingError {
-    fn may_pass(&self, elapsed: Duration) -> bool {
+impl RetryableError for RecordingError {
+    fn is_retryable(&self, elapsed: Duration) -> bool {
         match self {
-            RecordingError::File { error, .. } => error.may_pass(elapsed),
+            RecordingError::File { error, .. } => error.is_retryable(elapsed),
             RecordingError::NameHeld(..) | RecordingError::Record { .. } => false,
         }
     }
@@ -226,7 +226,7 @@
     let marker = state.join("record-taken-over");
     let new = !marker.exists();
     let unusable = |failure| RecordingError::Record { target: target.clone(), failure };
-    let opened = until_works("record", process, async || {
+    let opened = retry_transient("record", process, async || {
         Record::open(&recording.target, relay).await.map_err(OpenError)
     });
     match opened.await.map_err(|OpenError(failure)| failure) {
@@ -241,7 +241,7 @@
     let options = Options {
         target: recording.target.clone(),
         relay: relay.to_string(),
-        holder: until_works("record", process, async || holder(state)).await?,
+        holder: retry_transient("record", process, async || holder(state)).await?,
         seed,
         figures,
         drop_oldest: recording.drop_oldest,
@@ -281,7 +281,7 @@
         }
         let text = format!("{} {}\n", taken.unfinished, taken.finished);
         let mark = async || std::fs::write(&marker, &text).map_err(file_error(&marker));
-        until_works("record", process, mark).await?;
+        retry_transient("record", process, mark).await?;
     }
     Ok((Started { handle }, numbers))
 }
@@ -291,7 +291,7 @@
     let mut batches = Vec::new();
     while numbers.recv_many(&mut batches, 64).await > 0 {
         let written = batches.drain(..).flatten().collect();
-        if inputs.send(Input::Recorded(written)).await.is_err() {
+        if inputs.send(Input::RecordsWritten(written)).await.is_err() {
             return;
         }
     }
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,33 +1,34 @@
-//! Trying again while the cause of an error may pass by itself, in sight of operators.
+//! Retries after transient errors, shown in the process status.
 
 use std::fmt::Display;
 use std::time::Duration;
 
-pub use transient::{MayPass, Retries, until_works_blocking};
-use transient::{Persistence, until_works_watched};
+use transient::{Persistence, retry_transient_watched};
+pub use transient::{RetryBackoff, RetryableError, retry_transient_blocking};
 
 use crate::standing::Standing;
 use crate::store::StoreError;
 
-impl MayPass for StoreError {
-    fn may_pass(&self, elapsed: Duration) -> bool {
+impl RetryableError for StoreError {
+    fn is_retryable(&self, elapsed: Duration) -> bool {
         match self {
-            StoreError::Io(error) => error.may_pass(elapsed),
+            StoreError::Io(error) => error.is_retryable(elapsed),
             other => other.persistence() == Persistence::Transient,
         }
     }
 }
 
-/// Tries something until it works, while the cause of its errors may pass. `standing` shows operators what is waited for.
+/// Runs an operation until it succeeds or fails with an error that is not transient. `standing` shows the pending error to
+/// operators.
 ///
 /// # Errors
-/// The first error that does not pass by itself.
-pub async fn until_works<T, E: MayPass + Display>(
-    what: &str, standing: &Standing, attempt: impl AsyncFnMut() -> Result<T, E>,
+/// The first error that is not transient.
+pub async fn retry_transient<T, E: RetryableError + Display>(
+    operation: &str, standing: &Standing, attempt: impl AsyncFnMut() -> Result<T, E>,
 ) -> Result<T, E> {
-    let waits = |error: Option<&E>| match error {
-        Some(error) => standing.waits_for(&format!("{what}: {error}")),
+    let show_status = |error: Option<&E>| match error {
+        Some(error) => standing.waits_for(&format!("{operation}: {error}")),
         None => standing.waits_for(""),
     };
-    until_works_watched(what, attempt, waits).await
+    retry_transient_watched(operation, attempt, show_status).await
 }
--- a/src/runtime/actions.rs
+++ b/src/runtime/actions.rs
@@ -45,7 +45,7 @@
 
     /// Starts the next attempt of a message, with the latest time to start and the deadline of the call.
     fn send(&mut self, id: MessageId, target: TargetId, (start_by, deadline): (Micros, Micros)) {
-        let Some(lane) = self.relay.lane(target) else { return };
+        let Some(path) = self.relay.lane(target) else { return };
         let Some(held) = self.held.get_mut(&id) else { return };
         let Some(address) = self.addresses.get(&target).cloned() else { return };
         let effect =
@@ -68,7 +68,7 @@
             self.records.push(Record::Started { id: exchange.id.clone(), attempt, begun });
         }
         debug!(message = exchange.id, attempt, endpoint = &*address, start_by, deadline, "attempt decided");
-        let call = OutboundCall { exchange, attempt, target, address, lane, effect, start_by, deadline };
+        let call = OutboundCall { exchange, attempt, target, address, path, effect, start_by, deadline };
         self.effects.push(Effect::Call(id, call));
     }
 }
--- a/src/runtime/effects.rs
+++ b/src/runtime/effects.rs
@@ -3,7 +3,7 @@
 use record::model::Entry;
 use tokio::sync::oneshot;
 
-use crate::exchange::{Answer, Notice, OutboundCall};
+use crate::exchange::{Answer, NonDeliveryReport, OutboundCall};
 use crate::interface::{MessageId, Micros, TargetId};
 use crate::store::StoreError;
 
@@ -29,7 +29,7 @@
     CallOff(MessageId, u32),
     /// Sends a non-delivery report. From that time on a restart could not deliver the message any more, so that the report
     /// holds even where the end is not stored.
-    Notice(Notice, Micros),
+    Notice(NonDeliveryReport, Micros),
     /// Closes the idle connections to an endpoint.
     Close(TargetId),
     /// Passes a numbered entry to the record.
--- a/src/runtime/handover.rs
+++ b/src/runtime/handover.rs
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 
 use crate::handed::{Handed, HeldNow, LeftOut, Offer, OutNow};
-use crate::input::Retuned;
+use crate::input::ReloadedSettings;
 use crate::interface::{Decision, Event};
 use crate::standing::Phase;
 use crate::store::{Replay, StoreError, Stored};
@@ -95,8 +95,8 @@
     }
 
     /// The settings with which this process was started.
-    fn own_settings(&self) -> Retuned {
-        Retuned {
+    fn own_settings(&self) -> ReloadedSettings {
+        ReloadedSettings {
             settings: self.settings.clone(),
             classes: self.names.classes().to_vec(),
             tenants: self.names.tenants().to_vec(),
--- a/src/runtime/inputs.rs
+++ b/src/runtime/inputs.rs
@@ -4,7 +4,7 @@
 use tracing::warn;
 
 use crate::exchange::Receipt;
-use crate::input::{Input, Retuned};
+use crate::input::{Input, ReloadedSettings};
 use crate::interface::*;
 use crate::net::inbound::Vocabulary;
 use crate::store::Record;
@@ -15,32 +15,32 @@
     /// Processes one input.
     pub(super) fn input(&mut self, input: Input) {
         match input {
-            Input::Handed(exchange, receipt, reply) => self.submitted(exchange, receipt, reply),
+            Input::Submitted(exchange, receipt, reply) => self.submitted(exchange, receipt, reply),
             Input::Withdrawn(id) => self.withdrawn(&id),
-            Input::Ended(end) => self.call_ended(end),
-            Input::Heard(heard) => self.call_heard(heard),
-            Input::Answered(answered) => self.call_answered(answered),
-            Input::Listed(form, members) => self.listed(form, members),
-            Input::Told(hearsay) => self.handle(Event::Told(hearsay)),
-            Input::Permitted(given) => self.handle(Event::Permitted {
+            Input::CallEnded(end) => self.call_ended(end),
+            Input::ProvisionalDecision(heard) => self.call_heard(heard),
+            Input::ProvisionalAnswer(answered) => self.call_answered(answered),
+            Input::DestinationsUpdated(form, members) => self.listed(form, members),
+            Input::PeerReport(hearsay) => self.handle(Event::Told(hearsay)),
+            Input::Granted(given) => self.handle(Event::Permitted {
                 destination: DestinationId(given.destination),
                 permits: given.permits,
                 few: given.few,
             }),
-            Input::Waits(destination, waits) => {
+            Input::MinimumWaits(destination, waits) => {
                 self.handle(Event::Waits { destination: DestinationId(destination), waits });
             }
-            Input::Repeats(handed) => self.handle(Event::Repeats {
+            Input::RetryTokens(handed) => self.handle(Event::Repeats {
                 destination: DestinationId(handed.destination),
                 repeats: handed.repeats,
                 waits: handed.waits,
             }),
             Input::Receipt(receipt, late) => self.receipt(receipt, late),
-            Input::Recorded(numbers) => self.records.push(Record::Recorded(numbers)),
-            Input::Acknowledged(ids) => ids.into_iter().for_each(|id| self.acknowledged(id)),
-            Input::Retuned(retuned) => self.retune(*retuned),
+            Input::RecordsWritten(numbers) => self.records.push(Record::Recorded(numbers)),
+            Input::ReportsAcknowledged(ids) => ids.into_iter().for_each(|id| self.acknowledged(id)),
+            Input::SettingsReloaded(retuned) => self.retune(*retuned),
             // There is one offer at a time; a process whose offer is replaced sees its channel closed.
-            Input::Offer(offer) => self.offer = Some(offer),
+            Input::HandoverOffered(offer) => self.offer = Some(offer),
             Input::Stop(until) => self.stop(until),
         }
     }
@@ -70,8 +70,8 @@
     }
 
     /// Applies other settings to the module, to new messages and to the clients' side.
-    pub(super) fn retune(&mut self, retuned: Retuned) {
-        let Retuned { settings, classes, tenants } = retuned;
+    pub(super) fn retune(&mut self, retuned: ReloadedSettings) {
+        let ReloadedSettings { settings, classes, tenants } = retuned;
         self.classes.replace(&classes, &settings.classes);
         self.max_held = settings.max_held as usize;
         self.settings = settings;
--- a/src/runtime/intake.rs
+++ b/src/runtime/intake.rs
@@ -34,7 +34,7 @@
         let mut actions = Vec::new();
         self.relay.handle(self.clock.now(), Event::Arrival(arrival), &mut actions);
         let answer = take_answer(id, &mut actions);
-        if answer == Answer::Taken {
+        if answer == Answer::Accepted {
             self.records.push(Record::Taken(self.first_stored(&exchange, class, trace)));
             self.records.extend(receipt.map(Record::Receipt));
             self.unwritten += bytes;
@@ -49,9 +49,9 @@
     /// number of its class, or else the answer that turns it away. `bytes` is what it takes in the journal.
     fn admit(&self, exchange: &Exchange, bytes: usize) -> Result<usize, Answer> {
         if self.ids.contains_key(&exchange.id) || self.ended.contains(&exchange.id) {
-            return Err(Answer::TakenBefore);
+            return Err(Answer::AlreadyAccepted);
         }
-        let class = self.classes.current(&exchange.class).ok_or(Answer::Unknown)?;
+        let class = self.classes.current(&exchange.class).ok_or(Answer::UnknownClass)?;
         if !self.destinations.contains(&exchange.destination) {
             return Err(Answer::Refused("unknown dest".into(), None));
         }
@@ -139,7 +139,7 @@
 /// Removes from the actions the immediate end of the message that has just arrived, and returns the answer to its
 /// client. Such a message was never accepted.
 fn take_answer(id: MessageId, actions: &mut Vec<Action>) -> Answer {
-    let mut answer = Answer::Taken;
+    let mut answer = Answer::Accepted;
     actions.retain(|action| match action {
         Action::Refuse { id: refused, after } if *refused == id => {
             answer = Answer::Refused("refused".into(), *after);
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -23,7 +23,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 use crate::classes::Classes;
-use crate::exchange::{Clock, Exchange, Notice, OutboundCall};
+use crate::exchange::{Clock, Exchange, NonDeliveryReport, OutboundCall};
 use crate::fleet::ToFleet;
 use crate::handed::{LeftOut, Offer};
 use crate::input::Input;
@@ -84,7 +84,7 @@
     outbox: Option<Outbox>,
     fleet: Option<mpsc::UnboundedSender<ToFleet>>,
     caller: Box<dyn Caller>,
-    notices: mpsc::UnboundedSender<Notice>,
+    notices: mpsc::UnboundedSender<NonDeliveryReport>,
     standing: Arc<Standing>,
     /// Number of calls in flight.
     out: usize,
@@ -123,7 +123,7 @@
     pub fn new(
         clock: Clock, (relay, settings): (Relay, Settings), names: Names,
         (max_held, max_bytes): (usize, usize), journal: Journal, caller: Box<dyn Caller>,
-        notices: mpsc::UnboundedSender<Notice>,
+        notices: mpsc::UnboundedSender<NonDeliveryReport>,
     ) -> Self {
         let classes = Classes::new(names.classes(), &settings.classes);
         Runtime {
--- a/src/runtime/outage.rs
+++ b/src/runtime/outage.rs
@@ -124,8 +124,8 @@
         for effect in waiting {
             match effect {
                 Effect::Answer(reply) => match reply.answer {
-                    Answer::Taken => refused.push(reply),
-                    Answer::TakenBefore if refused.iter().any(|other| other.message == reply.message) => {
+                    Answer::Accepted => refused.push(reply),
+                    Answer::AlreadyAccepted if refused.iter().any(|other| other.message == reply.message) => {
                         refused.push(reply);
                     }
                     _ => self.release(Effect::Answer(reply)),
@@ -148,7 +148,7 @@
     /// Refuses a message whose acceptance is not stored, and forgets what was decided about it.
     fn refuse_unstored(&mut self, reply: Reply) {
         let Reply { to, message, receipt, answer } = reply;
-        if answer == Answer::Taken {
+        if answer == Answer::Accepted {
             self.drop_unstored(&message, receipt.as_deref());
         }
         if let Some(answer) = self.refused_by_store() {
@@ -202,7 +202,7 @@
             attempt,
             target,
             outcome,
-            verdict: outcome.verdict(),
+            decision: outcome.verdict(),
             began,
             answered: None,
             report,
--- a/src/runtime/outcomes.rs
+++ b/src/runtime/outcomes.rs
@@ -3,7 +3,7 @@
 use record::model::{Effect as RecordedEffect, Entry, Late, Outcome as RecordedOutcome, Trace};
 use tracing::debug;
 
-use crate::exchange::{Answered, CallEnd, CallHeard, Exchange, Notice};
+use crate::exchange::{CallEnd, Exchange, NonDeliveryReport, ProvisionalAnswer, ProvisionalDecision};
 use crate::fleet;
 use crate::interface::*;
 use crate::recording::heard;
@@ -21,8 +21,8 @@
         let Some(held) = self.held.get_mut(&id) else { return };
         (held.call, held.out) = (None, None);
         // Whoever tells the end may know less than was heard, as where the link to another process broke.
-        if let Some(heard) = held.heard.take().filter(|_| end.verdict.is_pending()) {
-            end.verdict = heard;
+        if let Some(heard) = held.heard.take().filter(|_| end.decision.is_pending()) {
+            end.decision = heard;
         }
         // The fleet has heard of an answer when it came.
         if let Some(fleet) = self.fleet.as_ref().filter(|_| !std::mem::take(&mut held.answered)) {
@@ -30,49 +30,49 @@
             let _ = fleet.send(fleet::ended(destination, end.outcome, times, &end.report));
         }
         let told = held.trace.as_mut().map(|trace| {
-            let told = heard(now, end.outcome, end.verdict, end.evidence);
+            let told = heard(now, end.outcome, end.decision, end.evidence);
             trace.ended(end.attempt, now, &told.result, told.effect, told.evidence.clone());
             told
         });
         let withdrawn = held.withdrawn;
-        if end.verdict.is_ended() || withdrawn {
-            let delivered = end.verdict == Decision::Delivered && !withdrawn;
+        if end.decision.is_ended() || withdrawn {
+            let delivered = end.decision == Decision::Delivered && !withdrawn;
             let outcome = if delivered { RecordedOutcome::Delivered } else { RecordedOutcome::Withdrawn };
             self.finish(id, outcome, None);
         } else {
-            let may_have_run = end.verdict.may_have_run();
+            let may_have_run = end.decision.may_have_run();
             let (id, attempt) = (end.id, end.attempt);
             self.records.push(Record::Outcome { id, attempt, may_have_run, heard: told });
         }
         let took = end.answered.unwrap_or_else(|| self.clock.now()) - end.began;
-        let CallEnd { attempt, target, outcome, mut verdict, report, .. } = end;
+        let CallEnd { attempt, target, outcome, mut decision, report, .. } = end;
         if withdrawn {
-            verdict = Decision::EndedElsewhere;
+            decision = Decision::EndedElsewhere;
         }
-        let done = Done { id, attempt, target, outcome, took, verdict, report };
+        let done = Done { id, attempt, target, outcome, took, verdict: decision, report };
         self.hold_back(&done, now);
         self.handle(Event::Done(done));
     }
 
     /// Something was heard of a call that may end its message. It is stored with whatever is decided next.
-    pub(super) fn call_heard(&mut self, heard: CallHeard) {
-        let CallHeard { id, attempt, verdict } = heard;
+    pub(super) fn call_heard(&mut self, heard: ProvisionalDecision) {
+        let ProvisionalDecision { id, attempt, decision } = heard;
         let held = self.ids.get(&id).and_then(|message| self.held.get_mut(message));
         let Some(held) = held.filter(|held| held.out.is_some() && held.attempts == attempt + 1) else {
             return;
         };
-        held.heard = Some(verdict);
-        debug!(message = id, attempt, verdict = verdict.label(), "heard");
-        self.records.push(Record::Heard { id, attempt, verdict });
+        held.heard = Some(decision);
+        debug!(message = id, attempt, verdict = decision.label(), "heard");
+        self.records.push(Record::Heard { id, attempt, verdict: decision });
     }
 
     /// A call was answered; what that means for its message is told by its end.
-    pub(super) fn call_answered(&mut self, answered: Answered) {
+    pub(super) fn call_answered(&mut self, answered: ProvisionalAnswer) {
         let Some(id) = self.ids.get(&answered.id).copied() else { return };
         let Some(held) = self.held.get_mut(&id) else { return };
         held.answered = true;
         let destination = held.exchange.destination;
-        let Answered { attempt, target, outcome, began, at, report, .. } = answered;
+        let ProvisionalAnswer { attempt, target, outcome, began, at, report, .. } = answered;
         self.tell_fleet(fleet::ended(destination, outcome, (began, at), &report));
         let done =
             Done { id, attempt, target, outcome, took: at - began, verdict: outcome.verdict(), report };
@@ -82,7 +82,7 @@
 
     /// A call ended after its message did. It is worth recording that it took effect all the same.
     fn ended_too_late(&mut self, end: CallEnd, now: Micros) {
-        if end.verdict == Decision::Delivered {
+        if end.decision == Decision::Delivered {
             self.came_late(Late {
                 id: end.id,
                 at: now,
@@ -108,11 +108,13 @@
         let Some(name) = self.held.get(&id).map(|held| held.exchange.id.clone()) else { return };
         let retry_in_ms = after.and_then(|after| u64::try_from(after / 1000).ok());
         let outcome = if handed_back { RecordedOutcome::Refused } else { RecordedOutcome::Failed };
-        self.finish(id, outcome, Some(Notice { id: name, handed_back, retry_in_ms }));
+        self.finish(id, outcome, Some(NonDeliveryReport { id: name, handed_back, retry_in_ms }));
     }
 
     /// A message that is held ends.
-    pub(super) fn finish(&mut self, id: MessageId, outcome: RecordedOutcome, notice: Option<Notice>) {
+    pub(super) fn finish(
+        &mut self, id: MessageId, outcome: RecordedOutcome, notice: Option<NonDeliveryReport>,
+    ) {
         // Read before the message is released, which may drop its terms.
         let once = self.held.get(&id).is_none_or(|held| self.once(held.class));
         let Some(held) = self.forget(id) else { return };
@@ -138,7 +140,7 @@
     /// Stores the end of a message, reports a non-delivery and records the message's history.
     pub(super) fn over(
         &mut self, (exchange, trace, outcome): (&Exchange, Option<Trace>, RecordedOutcome), once: bool,
-        notice: Option<Notice>,
+        notice: Option<NonDeliveryReport>,
     ) {
         let (now, id) = (self.clock.now(), exchange.id.clone());
         let attempts = trace.as_ref().map(|trace| trace.attempts.len());
--- a/src/runtime/recovery.rs
+++ b/src/runtime/recovery.rs
@@ -5,7 +5,7 @@
 use record::model::{Entry, Evidence, Outcome as RecordedOutcome, Trace};
 use tracing::{debug, error, warn};
 
-use crate::exchange::{Exchange, Member, Notice};
+use crate::exchange::{Exchange, Member, NonDeliveryReport};
 use crate::interface::*;
 use crate::recording::heard;
 use crate::store::{Replay, StoreError, Stored};
@@ -40,7 +40,7 @@
     }
 
     /// Sends again the non-delivery reports that were not acknowledged.
-    pub(super) fn resend(&mut self, notices: Vec<Notice>) {
+    pub(super) fn resend(&mut self, notices: Vec<NonDeliveryReport>) {
         for notice in notices {
             self.owed.insert(notice.id.clone());
             // Its end is stored.
@@ -68,7 +68,7 @@
         let exchange = Exchange { id, class, tenant, due, destination, idempotency_key, body };
         let Some(terms) = terms else {
             error!(message = exchange.id, "taken on for class {:?}, which is no more", exchange.class);
-            let notice = Notice { id: exchange.id.clone(), handed_back: false, retry_in_ms: None };
+            let notice = NonDeliveryReport { id: exchange.id.clone(), handed_back: false, retry_in_ms: None };
             return self.over((&exchange, trace, RecordedOutcome::Failed), true, Some(notice));
         };
         let (class, new) = self.classes.intern(&exchange.class, &terms);
@@ -97,7 +97,8 @@
             Decision::Delivered => (RecordedOutcome::Delivered, None),
             Decision::EndedElsewhere => (RecordedOutcome::Withdrawn, None),
             Decision::MayHaveEnded | Decision::AttemptsExhausted { .. } | Decision::Pending { .. } => {
-                let notice = Notice { id: exchange.id.clone(), handed_back: false, retry_in_ms: None };
+                let notice =
+                    NonDeliveryReport { id: exchange.id.clone(), handed_back: false, retry_in_ms: None };
                 (RecordedOutcome::Failed, Some(notice))
             }
         };
--- a/src/store/book.rs
+++ b/src/store/book.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 
 use super::{Heard, Record, Replay, Stored};
-use crate::exchange::{Notice, Receipt};
+use crate::exchange::{NonDeliveryReport, Receipt};
 use crate::interface::{Decision, Micros};
 
 /// State of one message, folded from its records.
@@ -14,7 +14,7 @@
 pub(super) struct Live {
     pub(super) seq: u64,
     message: Option<Stored>,
-    notice: Option<Notice>,
+    notice: Option<NonDeliveryReport>,
     receipt: Option<Receipt>,
     entry: Option<(u64, Bytes)>,
     /// An attempt is out.
--- a/src/store/bytes.rs
+++ b/src/store/bytes.rs
@@ -6,7 +6,7 @@
 use serde::de::DeserializeOwned;
 
 use super::{Record, Stored};
-use crate::exchange::{Notice, Receipt};
+use crate::exchange::{NonDeliveryReport, Receipt};
 use crate::interface::Decision;
 
 /// Kind of the record of a message that was accepted with an idempotency key: the key, then the record without it.
@@ -226,7 +226,7 @@
             let (owed, handed_back) = (bits.flag()?, bits.flag()?);
             let retry = u64::from_le_bytes(bits.array()?);
             let retry_in_ms = Some(retry).filter(|retry| *retry != u64::MAX);
-            let notice = owed.then(|| Notice { id: id.clone(), handed_back, retry_in_ms });
+            let notice = owed.then(|| NonDeliveryReport { id: id.clone(), handed_back, retry_in_ms });
             Record::Ended { id, notice }
         }
         b'A' => Record::Acknowledged { id: bits.text()? },
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -15,7 +15,7 @@
 use record::model::{Effect, Evidence, Trace};
 use serde::{Deserialize, Serialize};
 
-use crate::exchange::{IdempotencyKey, Notice, Receipt};
+use crate::exchange::{IdempotencyKey, NonDeliveryReport, Receipt};
 use crate::interface::{Class, Decision, Micros};
 
 pub use self::bytes::{decode, encode};
@@ -112,7 +112,7 @@
         /// The message.
         id: String,
         /// What the platform is to be told.
-        notice: Option<Notice>,
+        notice: Option<NonDeliveryReport>,
     },
     /// The platform has acknowledged the notice.
     Acknowledged {
@@ -153,7 +153,7 @@
     /// Messages that have ended or may have, by what was heard of their last attempt.
     pub heard: Vec<(Stored, Decision)>,
     /// Not acknowledged yet.
-    pub notices: Vec<Notice>,
+    pub notices: Vec<NonDeliveryReport>,
     /// Still remembered.
     pub receipts: Vec<Receipt>,
     /// Not known to be in the database, by number.
--- a/src/store/takeover.rs
+++ b/src/store/takeover.rs
@@ -13,7 +13,7 @@
 
 use super::book::Book as Fold;
 use super::{Journal, Record, decode};
-use crate::exchange::Notice;
+use crate::exchange::NonDeliveryReport;
 use crate::interface::Micros;
 
 /// Rows read at once.
@@ -36,7 +36,7 @@
     first: Micros,
     taken: Option<super::Stored>,
     trace: Option<Trace>,
-    notice: Option<Notice>,
+    notice: Option<NonDeliveryReport>,
 }
 
 /// Takes over what the table holds of this relay.
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -462,7 +462,7 @@
     waited.await.expect("both are in force");
     assert!(matches!(received.recv().await, Some(Input::Withdrawn(_))));
     let listed = tokio::time::timeout(FAR, received.recv()).await.expect("the changes, once there is room");
-    let Some(Input::Listed(ListForm::Changes, members)) = listed else { panic!("no list") };
+    let Some(Input::DestinationsUpdated(ListForm::Changes, members)) = listed else { panic!("no list") };
     let told: Vec<(&str, Listed)> =
         members.iter().map(|member| (member.id.as_str(), member.entry.listed())).collect();
     let expected =
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -97,7 +97,7 @@
             attempt: 0,
             target: TargetId(7),
             address,
-            lane: LANE,
+            path: LANE,
             effect: Effect::Unsafe,
             start_by,
             deadline,
@@ -106,7 +106,7 @@
 
     async fn end(&mut self) -> CallEnd {
         match soon(self.inputs.recv()).await {
-            Some(Input::Ended(end)) => end,
+            Some(Input::CallEnded(end)) => end,
             _ => panic!("expected the end of a call"),
         }
     }
@@ -178,7 +178,7 @@
     side.crossed(|_| {}, wait).await;
     // What does not share the wait goes.
     let endpoint = Endpoint::new();
-    let call = OutboundCall { lane: LANE + 1, ..side.call("other", &endpoint) };
+    let call = OutboundCall { path: LANE + 1, ..side.call("other", &endpoint) };
     let _handle = side.outbound.call(call);
     request(&mut endpoint.accept().await).await;
 }
@@ -372,9 +372,9 @@
     let (mut heard, mut answered) = (None, None);
     loop {
         match soon(side.inputs.recv()).await {
-            Some(Input::Heard(told)) if answered.is_none() => heard = Some(told.verdict),
-            Some(Input::Answered(answer)) => answered = Some(answer.outcome),
-            Some(Input::Ended(end)) => return Told { heard, answered, end },
+            Some(Input::ProvisionalDecision(told)) if answered.is_none() => heard = Some(told.decision),
+            Some(Input::ProvisionalAnswer(answer)) => answered = Some(answer.outcome),
+            Some(Input::CallEnded(end)) => return Told { heard, answered, end },
             _ => panic!("expected the end of a call"),
         }
     }
@@ -393,7 +393,7 @@
         let told = told(&mut side).await;
         assert_eq!((told.answered, told.end.outcome), (Some(expected), expected));
         assert_eq!(told.heard, (expected == Outcome::Ok).then_some(Decision::Delivered));
-        assert_eq!(told.end.verdict, expected.verdict());
+        assert_eq!(told.end.decision, expected.verdict());
         assert!(side.clock.now() - began >= MIN_QUIET_US, "it was watched");
     }
 }
@@ -407,7 +407,7 @@
         tokio::time::sleep(Duration::from_micros(MIN_QUIET_US as u64 / 5)).await;
         connection.write_all(then).await.expect("written");
         let end = told(&mut side).await.end;
-        assert_eq!((end.outcome, end.verdict), (Outcome::Spoilt, Decision::MayHaveEnded));
+        assert_eq!((end.outcome, end.decision), (Outcome::Spoilt, Decision::MayHaveEnded));
     }
 }
 
@@ -476,7 +476,7 @@
     /// The next message that reaches the runtime.
     async fn handed(&mut self) -> oneshot::Sender<Answer> {
         match soon(self.inputs.recv()).await {
-            Some(Input::Handed(_, _, reply)) => reply,
+            Some(Input::Submitted(_, _, reply)) => reply,
             _ => panic!("expected a message"),
         }
     }
@@ -517,14 +517,14 @@
     let mut door = Door::open().await;
     let mut stream = door.connect().await;
     stream.write_all(HANDED_IN.as_bytes()).await.expect("written");
-    door.handed().await.send(Answer::Taken).expect("heard");
+    door.handed().await.send(Answer::Accepted).expect("heard");
     let mut answer = vec![0; 12];
     soon(stream.read_exact(&mut answer)).await.expect("an answer");
     assert_eq!(answer, b"HTTP/1.1 202");
     door.inbound.standing.enter(Phase::Stopping);
     // On the resting connection, together with the next one, which crosses the close.
     stream.write_all(HANDED_IN.replace("m-1", "m-2").repeat(2).as_bytes()).await.expect("written");
-    door.handed().await.send(Answer::Taken).expect("heard");
+    door.handed().await.send(Answer::Accepted).expect("heard");
     let answers = rest(&mut stream).await;
     assert_eq!(answers.matches("HTTP/1.1 ").count(), 1, "one answer, then the end: {answers}");
     assert!(door.inputs.try_recv().is_err(), "what came after the last answer is nobody's");
@@ -542,10 +542,10 @@
     let mut other = door.connect().await;
     other.write_all(HANDED_IN.replace("m-1", "m-2").as_bytes()).await.expect("written");
     let second = door.handed().await;
-    reply.send(Answer::Taken).expect("heard");
+    reply.send(Answer::Accepted).expect("heard");
     let Some(Input::Withdrawn(id)) = soon(door.inputs.recv()).await else { panic!("a withdrawal") };
     assert_eq!(id, "m-1");
-    second.send(Answer::Taken).expect("heard");
+    second.send(Answer::Accepted).expect("heard");
     other.shutdown().await.expect("half closed");
     assert!(
         rest(&mut other).await.starts_with("HTTP/1.1 202 "),
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -181,7 +181,7 @@
     assert_eq!(line, ASKED, "what was missed is asked for");
     assert!(at - began < 6 * S, "after {} us", at - began);
     stream.write_all(&list(42, "Terminating")).await.expect("written");
-    assert!(matches!(agent.inputs.recv().await, Some(Input::Listed(..))));
+    assert!(matches!(agent.inputs.recv().await, Some(Input::DestinationsUpdated(..))));
     assert!(agent.clock.now() - began < 6 * S);
     assert!(request(&mut stream).await.contains("index=42&wait=4000"));
 }
@@ -207,7 +207,7 @@
     let (line, mut stream, _) = agent.call().await;
     assert_eq!(line, ASKED);
     stream.write_all(&list(42, "Ready")).await.expect("written");
-    let Some(Input::Listed(_, members)) = agent.inputs.recv().await else { panic!("a list") };
+    let Some(Input::DestinationsUpdated(_, members)) = agent.inputs.recv().await else { panic!("a list") };
     assert_eq!(members.len(), 1, "indented, with fields that nobody knows");
     assert!(request(&mut stream).await.contains("index=42&wait=4000"));
 }
--- a/tests/link.rs
+++ b/tests/link.rs
@@ -33,7 +33,7 @@
     let mut have = 0;
     while have < wanted {
         let input = tokio::time::timeout(FAR, inputs.recv()).await.expect("a steward answers");
-        if let Some(Input::Permitted(given)) = input
+        if let Some(Input::Granted(given)) = input
             && given.destination == destination
         {
             have += given.permits;
@@ -86,7 +86,7 @@
         attempt: 0,
         target: TargetId(1),
         outcome,
-        verdict: outcome.verdict(),
+        decision: outcome.verdict(),
         began,
         answered: None,
         report,
@@ -144,8 +144,8 @@
     let (mut permitted, mut shut) = (false, false);
     while !(permitted && shut) {
         match tokio::time::timeout(FAR, second.inputs.recv()).await.expect("both come") {
-            Some(Input::Permitted(given)) => permitted |= given.permits > 0,
-            Some(Input::Told(hearsay)) => shut |= matches!(hearsay.word, Word::Shut(_)),
+            Some(Input::Granted(given)) => permitted |= given.permits > 0,
+            Some(Input::PeerReport(hearsay)) => shut |= matches!(hearsay.word, Word::Shut(_)),
             _ => {}
         }
     }
--- a/tests/outage.rs
+++ b/tests/outage.rs
@@ -12,7 +12,7 @@
 use record::model::{Evidence, Expected};
 use tokio::sync::{mpsc, oneshot};
 use tulipfall::config::Config;
-use tulipfall::exchange::{Answer, CallEnd, Clock, Exchange, Notice, OutboundCall};
+use tulipfall::exchange::{Answer, CallEnd, Clock, Exchange, NonDeliveryReport, OutboundCall};
 use tulipfall::input::Input;
 use tulipfall::interface::*;
 use tulipfall::net::clearance::Clearance;
@@ -105,7 +105,7 @@
     fails: Arc<AtomicBool>,
     inputs: mpsc::Sender<Input>,
     calls: mpsc::UnboundedReceiver<OutboundCall>,
-    notices: mpsc::UnboundedReceiver<Notice>,
+    notices: mpsc::UnboundedReceiver<NonDeliveryReport>,
 }
 
 impl Side {
@@ -151,7 +151,7 @@
             body: "x".into(),
         };
         let (reply, answer) = oneshot::channel();
-        self.inputs.send(Input::Handed(Arc::new(exchange), None, reply)).await.expect("it runs");
+        self.inputs.send(Input::Submitted(Arc::new(exchange), None, reply)).await.expect("it runs");
         soon(answer).await.expect("an answer")
     }
 
@@ -161,13 +161,13 @@
             attempt: call.attempt,
             target: call.target,
             outcome,
-            verdict: outcome.verdict(),
+            decision: outcome.verdict(),
             began: self.clock.now(),
             answered: None,
             report: Report::default(),
             evidence: Evidence::default(),
         };
-        self.inputs.send(Input::Ended(end)).await.expect("it runs");
+        self.inputs.send(Input::CallEnded(end)).await.expect("it runs");
     }
 
     async fn call(&mut self) -> OutboundCall {
@@ -198,7 +198,7 @@
     side.fails(false);
     // The advice holds.
     tokio::time::sleep(Duration::from_millis(300)).await;
-    assert_eq!(side.hand_in("third", "paid-extra", 3_000_000).await, Answer::Taken);
+    assert_eq!(side.hand_in("third", "paid-extra", 3_000_000).await, Answer::Accepted);
     assert_eq!(side.call().await.exchange.id, "third", "nothing of the others is sent");
     assert!(side.calls.try_recv().is_err());
 }
@@ -206,7 +206,7 @@
 #[tokio::test(flavor = "local")]
 async fn a_retry_waits_until_its_start_is_stored() {
     let mut side = Side::start("outage-retry");
-    assert_eq!(side.hand_in("held", "paid-extra", 8_000_000).await, Answer::Taken);
+    assert_eq!(side.hand_in("held", "paid-extra", 8_000_000).await, Answer::Accepted);
     let first = side.call().await;
     side.fails(true);
     side.end(&first, Outcome::ConnectFailed).await;
@@ -222,7 +222,7 @@
 #[tokio::test(flavor = "local")]
 async fn a_message_whose_time_is_up_is_reported_while_the_store_fails() {
     let mut side = Side::start("outage-due");
-    assert_eq!(side.hand_in("held", "status-update", 900_000).await, Answer::Taken);
+    assert_eq!(side.hand_in("held", "status-update", 900_000).await, Answer::Accepted);
     let first = side.call().await;
     let due = first.exchange.due;
     side.fails(true);
@@ -240,11 +240,11 @@
 #[tokio::test(flavor = "local")]
 async fn what_ended_before_is_answered_as_before_while_the_store_fails() {
     let mut side = Side::start("outage-before");
-    assert_eq!(side.hand_in("done", "paid-extra", 3_000_000).await, Answer::Taken);
+    assert_eq!(side.hand_in("done", "paid-extra", 3_000_000).await, Answer::Accepted);
     let call = side.call().await;
     side.end(&call, Outcome::Ok).await;
-    assert_eq!(side.hand_in("done", "paid-extra", 3_000_000).await, Answer::TakenBefore);
+    assert_eq!(side.hand_in("done", "paid-extra", 3_000_000).await, Answer::AlreadyAccepted);
     side.fails(true);
     assert!(matches!(side.hand_in("new", "paid-extra", 3_000_000).await, Answer::Refused(..)));
-    assert_eq!(side.hand_in("done", "paid-extra", 3_000_000).await, Answer::TakenBefore);
+    assert_eq!(side.hand_in("done", "paid-extra", 3_000_000).await, Answer::AlreadyAccepted);
 }
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use pg_standin::{Act, Mode, Server};
 use stand::*;
-use tulipfall::exchange::Notice;
+use tulipfall::exchange::NonDeliveryReport;
 use tulipfall::store::{Record, Stored, encode};
 
 /// A relay with one destination, and its record.
@@ -321,8 +321,8 @@
         })
     };
     let started = |id: &str| Record::Started { id: id.into(), attempt: 0, begun: None };
-    let ended = |id: &str, notice: Option<Notice>| Record::Ended { id: id.into(), notice };
-    let notice = Notice { id: "handed back".into(), handed_back: true, retry_in_ms: None };
+    let ended = |id: &str, notice: Option<NonDeliveryReport>| Record::Ended { id: id.into(), notice };
+    let notice = NonDeliveryReport { id: "handed back".into(), handed_back: true, retry_in_ms: None };
     let outcome = Record::Outcome { id: "handed back".into(), attempt: 0, may_have_run: false, heard: None };
     let acknowledged = Record::Acknowledged { id: "handed back".into() };
     old_table(
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use record::model::{Effect, Evidence, Trace};
 use stand::folder;
-use tulipfall::exchange::{Notice, Receipt};
+use tulipfall::exchange::{NonDeliveryReport, Receipt};
 use tulipfall::interface::{Class, Decision};
 use tulipfall::store::*;
 
@@ -43,8 +43,8 @@
     Class { worth: 3.0, aim: 2, deadline: 16, late_worth: 0.3, effect, in_order: false }
 }
 
-fn notice(id: &str, retry_in_ms: Option<u64>) -> Notice {
-    Notice { id: id.into(), handed_back: retry_in_ms.is_some(), retry_in_ms }
+fn notice(id: &str, retry_in_ms: Option<u64>) -> NonDeliveryReport {
+    NonDeliveryReport { id: id.into(), handed_back: retry_in_ms.is_some(), retry_in_ms }
 }
 
 /// One of each record, and what they come to.
--- a/tests/store_faults.rs
+++ b/tests/store_faults.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use nix::errno::Errno;
 use proptest::prelude::*;
-use tulipfall::exchange::Notice;
+use tulipfall::exchange::NonDeliveryReport;
 use tulipfall::store::*;
 
 const ROOM: Room = Room { limit: 3_000_000, to_end: TO_END };
@@ -190,7 +190,7 @@
                 Record::Started { id, attempt, begun: None }
             }
             (2, Some(id), _) => {
-                let notice = Notice { id: id.clone(), handed_back: false, retry_in_ms: None };
+                let notice = NonDeliveryReport { id: id.clone(), handed_back: false, retry_in_ms: None };
                 Record::Ended { notice: Some(notice).filter(|_| which % 2 == 0), id }
             }
             (3, _, Some(id)) => Record::Acknowledged { id },
