--- a/crates/escrow/tests/worlds.rs
+++ b/crates/escrow/tests/worlds.rs
@@ -1,43 +1,44 @@
-//! The protocol of loans, explored exhaustively in small worlds: three relays, one budget; notes lost, late, doubled and
-//! out of order; relays frozen, killed and started again at any step. The property is the bound itself: a part is never
-//! used by two. With a guard taken out the explorer has to find the sequence of notes that breaks it.
+//! Model of the loan protocol, checked exhaustively for small configurations: three relays, one budget; datagrams lost,
+//! delayed, duplicated and reordered; relays stalled, killed and restarted at any step. The property is the bound itself: a
+//! share is never used by two relays. With a safeguard removed, the checker has to find a sequence that violates it.
 
-use escrow::{Loans, Part};
+use escrow::{BudgetShare, Loans};
 use fleet::note::Stamp;
 use fleet::{Micros, Peer};
 use stateright::{Checker, Model, Property};
 
-/// A step of the world's clock, a lease in steps, and when the world ends.
+/// Time of one clock step, in microseconds.
 const STEP: Micros = 1_000_000;
+/// Duration of a lease.
 const LEASE: Micros = 2 * STEP;
-/// Notes on the way at the most.
-const ON_THE_WAY: usize = 2;
+/// Largest number of datagrams in transit.
+const MAX_IN_TRANSIT: usize = 2;
 
-/// A guard that is taken out.
+/// The safeguard that is removed from the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Break {
+enum RemovedSafeguard {
     None,
-    /// An owner takes its part back as soon as it hears another borrower.
-    TakesBackAtOnce,
-    /// A borrower counts a lease from when the note comes.
+    /// An owner reclaims its share as soon as it hears from another borrower.
+    ReclaimsBeforeLeaseEnd,
+    /// A borrower counts the lease from the arrival of the loan instead of the stamp.
     CountsFromArrival,
-    /// A relay that starts uses its part at once.
-    ForgetsWhatItLent,
+    /// A restarted relay uses its share at once.
+    ForgetsLoanOnRestart,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Note {
+enum Datagram {
     /// A borrower's stamp, for an owner.
     Stamp { from: Peer, to: Peer, at: Micros },
-    /// An owner's loan.
+    /// An owner's loan, with the stamp returned.
     Loan { from: Peer, to: Peer, stamp: Micros },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Relay {
-    part: Part,
+    share: BudgetShare,
     loans: Loans,
-    /// The latest stamps heard, by borrower.
+    /// The latest stamp received from each borrower.
     stamps: [Option<Micros>; 3],
 }
 
@@ -45,161 +46,177 @@
 struct State {
     now: Micros,
     relays: Vec<Relay>,
-    notes: Vec<Note>,
+    datagrams: Vec<Datagram>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Deed {
-    /// Time passes; who does nothing meanwhile was frozen, or had nothing to say.
-    Passes,
-    Stamps {
+enum Step {
+    /// Time passes. A relay that does nothing meanwhile is stalled or has nothing to send.
+    PassTime,
+    SendStamp {
         from: Peer,
         to: Peer,
     },
-    Lends {
+    SendLoan {
         from: Peer,
         to: Peer,
     },
-    Arrives {
-        note: usize,
-        again: bool,
+    /// A datagram arrives; with `duplicate` it also stays in transit.
+    Deliver {
+        datagram: usize,
+        duplicate: bool,
     },
-    Lost {
-        note: usize,
+    Lose {
+        datagram: usize,
     },
-    StartsAgain {
+    Restart {
         relay: Peer,
     },
 }
 
-struct World {
-    broken: Break,
+struct LoanModel {
+    removed: RemovedSafeguard,
+    /// Time at which the clock stops.
     until: Micros,
-    /// Relays that own, and relays that borrow.
+    /// Relays that own a share.
     owners: std::ops::Range<Peer>,
+    /// Relays that borrow.
     borrowers: std::ops::Range<Peer>,
 }
 
-impl World {
-    fn usable(state: &State, owner: Peer) -> usize {
-        let own = usize::from(state.relays[usize::from(owner)].part.mine(state.now));
-        let lent = state.relays.iter().filter(|relay| relay.loans.has(state.now, owner)).count();
+impl LoanModel {
+    /// Number of relays that may use the owner's share.
+    fn users(state: &State, owner: Peer) -> usize {
+        let own = usize::from(state.relays[usize::from(owner)].share.is_usable_by_owner(state.now));
+        let lent = state.relays.iter().filter(|relay| relay.loans.is_usable(state.now, owner)).count();
         own + lent
     }
 }
 
-impl Model for World {
+impl Model for LoanModel {
     type State = State;
-    type Action = Deed;
+    type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let relay = Relay { part: Part::starting(-LEASE, LEASE), loans: Loans::default(), stamps: [None; 3] };
-        vec![State { now: 0, relays: vec![relay; 3], notes: vec![] }]
+        let relay =
+            Relay { share: BudgetShare::at_start(-LEASE, LEASE), loans: Loans::default(), stamps: [None; 3] };
+        vec![State { now: 0, relays: vec![relay; 3], datagrams: vec![] }]
     }
 
-    fn actions(&self, state: &State, actions: &mut Vec<Deed>) {
+    fn actions(&self, state: &State, actions: &mut Vec<Step>) {
         if state.now < self.until {
-            actions.push(Deed::Passes);
+            actions.push(Step::PassTime);
         }
         let pairs = self.owners.clone().flat_map(|owner| self.borrowers.clone().map(move |b| (owner, b)));
         for (owner, borrower) in pairs.filter(|(owner, borrower)| owner != borrower) {
-            if state.notes.len() < ON_THE_WAY {
-                actions.push(Deed::Stamps { from: borrower, to: owner });
-                actions.push(Deed::Lends { from: owner, to: borrower });
+            if state.datagrams.len() < MAX_IN_TRANSIT {
+                actions.push(Step::SendStamp { from: borrower, to: owner });
+                actions.push(Step::SendLoan { from: owner, to: borrower });
             }
         }
-        for note in 0..state.notes.len() {
-            actions.push(Deed::Arrives { note, again: false });
-            actions.push(Deed::Arrives { note, again: true });
-            actions.push(Deed::Lost { note });
+        for datagram in 0..state.datagrams.len() {
+            actions.push(Step::Deliver { datagram, duplicate: false });
+            actions.push(Step::Deliver { datagram, duplicate: true });
+            actions.push(Step::Lose { datagram });
         }
-        actions.extend(self.owners.clone().map(|relay| Deed::StartsAgain { relay }));
+        actions.extend(self.owners.clone().map(|relay| Step::Restart { relay }));
     }
 
-    fn next_state(&self, state: &State, deed: Deed) -> Option<State> {
+    fn next_state(&self, state: &State, step: Step) -> Option<State> {
         let mut next = state.clone();
         let now = state.now;
-        match deed {
-            Deed::Passes => next.now += STEP,
-            Deed::Stamps { from, to } => next.notes.push(Note::Stamp { from, to, at: now }),
-            Deed::Lends { from, to } => {
+        match step {
+            Step::PassTime => next.now += STEP,
+            Step::SendStamp { from, to } => next.datagrams.push(Datagram::Stamp { from, to, at: now }),
+            Step::SendLoan { from, to } => {
                 let owner = &mut next.relays[usize::from(from)];
                 let stamp = owner.stamps[usize::from(to)]?;
-                if self.broken == Break::TakesBackAtOnce {
-                    owner.part = Part::starting(now - LEASE, LEASE);
+                if self.removed == RemovedSafeguard::ReclaimsBeforeLeaseEnd {
+                    owner.share = BudgetShare::at_start(now - LEASE, LEASE);
                 }
-                if !owner.part.lend(now, to, LEASE) {
+                if !owner.share.lend(now, to, LEASE) {
                     return None;
                 }
-                next.notes.push(Note::Loan { from, to, stamp });
+                next.datagrams.push(Datagram::Loan { from, to, stamp });
             }
-            Deed::Arrives { note, again } => {
-                let came = if again { next.notes[note].clone() } else { next.notes.remove(note) };
-                match came {
-                    Note::Stamp { from, to, at } => {
-                        let known = &mut next.relays[usize::from(to)].stamps[usize::from(from)];
-                        *known = (*known).max(Some(at));
+            Step::Deliver { datagram, duplicate } => {
+                let arrived = if duplicate {
+                    next.datagrams[datagram].clone()
+                } else {
+                    next.datagrams.remove(datagram)
+                };
+                match arrived {
+                    Datagram::Stamp { from, to, at } => {
+                        let latest = &mut next.relays[usize::from(to)].stamps[usize::from(from)];
+                        *latest = (*latest).max(Some(at));
                     }
-                    Note::Loan { from, to, stamp } => {
-                        let counts = if self.broken == Break::CountsFromArrival { now } else { stamp };
-                        next.relays[usize::from(to)].loans.lent(now, from, Stamp::of(counts), LEASE);
+                    Datagram::Loan { from, to, stamp } => {
+                        let lease_start =
+                            if self.removed == RemovedSafeguard::CountsFromArrival { now } else { stamp };
+                        next.relays[usize::from(to)].loans.add(now, from, Stamp::of(lease_start), LEASE);
                     }
                 }
             }
-            Deed::Lost { note } => drop(next.notes.remove(note)),
-            Deed::StartsAgain { relay } => {
-                let from = if self.broken == Break::ForgetsWhatItLent { now - LEASE } else { now };
-                let part = Part::starting(from, LEASE);
-                next.relays[usize::from(relay)] = Relay { part, loans: Loans::default(), stamps: [None; 3] };
+            Step::Lose { datagram } => drop(next.datagrams.remove(datagram)),
+            Step::Restart { relay } => {
+                let from =
+                    if self.removed == RemovedSafeguard::ForgetsLoanOnRestart { now - LEASE } else { now };
+                let share = BudgetShare::at_start(from, LEASE);
+                next.relays[usize::from(relay)] = Relay { share, loans: Loans::default(), stamps: [None; 3] };
             }
         }
-        next.relays.iter_mut().for_each(|relay| relay.loans.forget(next.now));
-        next.notes.sort();
+        next.relays.iter_mut().for_each(|relay| relay.loans.remove_expired(next.now));
+        next.datagrams.sort();
         Some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("a part is used by one at a time", |world: &World, state: &State| {
-                world.owners.clone().all(|owner| World::usable(state, owner) <= 1)
+            Property::always("a share is used by one relay at a time", |model: &LoanModel, state: &State| {
+                model.owners.clone().all(|owner| LoanModel::users(state, owner) <= 1)
             }),
-            Property::sometimes("a part is borrowed", |_, state: &State| {
+            Property::sometimes("a share is borrowed", |_, state: &State| {
                 state.relays.iter().any(|relay| relay.loans.count(state.now, 0) > 0)
             }),
-            Property::sometimes("another borrows it later", |_, state: &State| {
-                state.now > LEASE && state.relays[2].loans.has(state.now, 0)
+            Property::sometimes("another relay borrows the share later", |_, state: &State| {
+                state.now > LEASE && state.relays[2].loans.is_usable(state.now, 0)
             }),
         ]
     }
 }
 
-/// One owner and two who would borrow, one of them an owner itself.
-fn world(broken: Break) -> World {
-    World { broken, until: 4 * STEP, owners: 0..1, borrowers: 1..3 }
+/// One owner and two borrowers.
+fn model(removed: RemovedSafeguard) -> LoanModel {
+    LoanModel { removed, until: 4 * STEP, owners: 0..1, borrowers: 1..3 }
 }
 
 #[test]
-fn no_part_is_used_by_two_in_any_sequence_of_a_small_world() {
-    let checker = world(Break::None).checker().threads(4).spawn_bfs().join();
+fn a_share_is_used_by_one_relay_at_a_time_in_every_sequence_of_steps() {
+    let checker = model(RemovedSafeguard::None).checker().threads(4).spawn_bfs().join();
     checker.assert_properties();
     assert!(checker.unique_state_count() > 1_000, "{} states", checker.unique_state_count());
 }
 
 #[test]
-fn relays_that_lend_to_each_other_never_use_a_part_twice() {
-    let world = World { broken: Break::None, until: 3 * STEP, owners: 0..2, borrowers: 0..2 };
-    let checker = world.checker().threads(4).spawn_bfs().join();
-    checker.assert_no_discovery("a part is used by one at a time");
+fn relays_that_lend_to_each_other_never_use_a_share_at_the_same_time() {
+    let model = LoanModel { removed: RemovedSafeguard::None, until: 3 * STEP, owners: 0..2, borrowers: 0..2 };
+    let checker = model.checker().threads(4).spawn_bfs().join();
+    checker.assert_no_discovery("a share is used by one relay at a time");
     assert!(checker.unique_state_count() > 1_000, "{} states", checker.unique_state_count());
 }
 
 #[test]
-fn with_a_guard_taken_out_the_sequence_that_breaks_the_bound_is_found() {
-    for broken in [Break::TakesBackAtOnce, Break::CountsFromArrival, Break::ForgetsWhatItLent] {
-        let checker = world(broken).checker().threads(4).spawn_bfs().join();
-        let found =
-            checker.discovery("a part is used by one at a time").unwrap_or_else(|| panic!("{broken:?}"));
-        println!("{broken:?}:");
-        found.into_actions().iter().for_each(|deed| println!("    {deed:?}"));
+fn a_violation_is_found_for_each_removed_safeguard() {
+    for removed in [
+        RemovedSafeguard::ReclaimsBeforeLeaseEnd,
+        RemovedSafeguard::CountsFromArrival,
+        RemovedSafeguard::ForgetsLoanOnRestart,
+    ] {
+        let checker = model(removed).checker().threads(4).spawn_bfs().join();
+        let found = checker
+            .discovery("a share is used by one relay at a time")
+            .unwrap_or_else(|| panic!("{removed:?}"));
+        println!("{removed:?}:");
+        found.into_actions().iter().for_each(|step| println!("    {step:?}"));
     }
 }
--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -1,11 +1,12 @@
-//! What will not be served in time, told as soon as the queues show it.
+//! Estimates of how long the waiting messages of a destination will wait, so that hopeless ones can be given up early.
 //!
-//! [`backlog::Backlog`] follows what waits for one destination, by worth, at one relay or at all that a steward hears, how
-//! fast more comes and how fast it goes. It tells [`waits::Waits`]: for each worth, how long at the least a message of it
-//! waits now. Who gives up what by that is not decided here; that is the relay's decision module's alone.
+//! [`backlog::Backlog`] follows what waits for one destination, by priority, at one relay or at all relays that report to
+//! a coordinator, together with the rates at which messages arrive and calls start. From these it estimates
+//! [`waits::MinimumWaits`]: for each priority, the time that a message of it waits now at least. Which messages are given
+//! up because of that is decided by the relay's decision module, not here.
 //!
-//! Arithmetic without I/O: counts and the time go in, waits come out. It must never tell a wait where it has not seen
-//! calls start, nor let one relay's word move what others are told by more than its part.
+//! Arithmetic without I/O: counts and the time go in, waits come out. Invariants: no wait is estimated before calls have
+//! been seen to start, and one relay's reports move the estimates for others by no more than a bounded share.
 //!
 //! Dependencies point one way: `waits` ← `backlog`.
 #![forbid(unsafe_code)]
@@ -15,5 +16,5 @@
 
 pub use fleet::{Micros, Peer, SECOND};
 
-/// Messages that wait: so many of each worth (in thousandths), the worthiest first.
-pub type Tiers = [(u16, u8)];
+/// Number of waiting messages for each priority (in thousandths), highest priority first.
+pub type WaitingByPriority = [(u16, u8)];
--- a/crates/permits/src/limit.rs
+++ b/crates/permits/src/limit.rs
@@ -266,7 +266,7 @@
 
     /// The rate that a relay gets, by what waits there and elsewhere, for [`SLICE_FOR`].
     pub(crate) fn slice(&mut self, now: Micros, cold: Cold, fleet: Fleet, to: Peer) -> f64 {
-        if self.wait_until > now || !self.loans.has(now, to) {
+        if self.wait_until > now || !self.loans.is_usable(now, to) {
             return 0.0;
         }
         let share = self.share(now, fleet, SLICE_FOR);
@@ -278,15 +278,17 @@
         }
         // Who has nothing to send has a little all the same, so that its first message need not ask.
         let weight = |ask: &Ask| 1.0 + ask.waits;
-        let asks = self.asks.iter().filter(|(peer, _)| self.loans.has(now, **peer));
+        let asks = self.asks.iter().filter(|(peer, _)| self.loans.is_usable(now, **peer));
         let all: f64 = asks.map(|(_, ask)| weight(ask)).sum();
         let mine = self.asks.get(&to).map_or(1.0, weight);
-        self.slices.give(now, to, whole * mine / all.max(mine), whole, SLICE_FOR)
+        self.slices.grant(now, to, whole * mine / all.max(mine), whole, SLICE_FOR)
     }
 
     /// Nobody else's part is lent to this relay.
     pub(crate) fn alone(&self, now: Micros, fleet: Fleet) -> bool {
-        fleet.sharing == Sharing::Parts && self.loans.has(now, fleet.me) && self.loans.count(now, 0) == 1
+        fleet.sharing == Sharing::Parts
+            && self.loans.is_usable(now, fleet.me)
+            && self.loans.count(now, 0) == 1
     }
 
     /// How often its turn comes to a relay that hears nobody. The period is the same at all of them: it follows what is
@@ -301,7 +303,7 @@
 
     /// Whose turn it is: the worthiest, then who waits longest.
     pub(crate) fn best(&self, now: Micros, fleet: Fleet) -> Option<Peer> {
-        let lends = |peer: &Peer| fleet.sharing == Sharing::Whole || self.loans.has(now, *peer);
+        let lends = |peer: &Peer| fleet.sharing == Sharing::Whole || self.loans.is_usable(now, *peer);
         let asks = self.asks.iter().filter(|(peer, ask)| now - ask.said < WANTS_FOR && lends(peer));
         let worth = |ask: &Ask| ask.tiers.first().map(|(worth, _)| *worth);
         let best =
@@ -313,7 +315,8 @@
     pub(crate) fn judge(&mut self, now: Micros, fleet: Fleet, report: &Report) {
         let stands = (now - self.judged).clamp(0, REPORT_STANDS) as f64 / SECOND as f64;
         let lent = self.lent(now, fleet, 0);
-        let waits = self.asks.iter().any(|(peer, ask)| !ask.tiers.is_empty() && self.loans.has(now, *peer));
+        let waits =
+            self.asks.iter().any(|(peer, ask)| !ask.tiers.is_empty() && self.loans.is_usable(now, *peer));
         self.judged = now;
         if report.sign == Sign::Refused || report.left.is_none_or(|left| left < LEFT_ENOUGH) {
             self.scarce = now;
@@ -377,7 +380,7 @@
                 let refused = self.refusals >= REFUSALS && now - self.bad_since >= REFUSED_FOR;
                 if self.failures >= self.outage() || refused {
                     (self.out, self.back) = (true, None);
-                    self.backlog.rest();
+                    self.backlog.reset();
                 }
             }
         }
--- a/crates/permits/src/node/asking.rs
+++ b/crates/permits/src/node/asking.rs
@@ -1,6 +1,6 @@
 //! What a relay knows of a destination for which it asks stewards, and of other relays as stewards.
 
-use escrow::Part;
+use escrow::BudgetShare;
 use fleet::note::Stamp;
 
 use crate::{Micros, Peer, SECOND, Tiers};
@@ -28,7 +28,7 @@
     /// Time of the next request.
     pub(super) say_at: Micros,
     /// This relay's part of the limit.
-    pub(super) part: Part,
+    pub(super) part: BudgetShare,
     /// Granted rate in calls per second, and when it expires.
     pub(super) rate: Option<(f64, Micros)>,
     /// Time of the last call at a granted rate.
@@ -39,7 +39,7 @@
 
 impl Asking {
     /// The state before the first request.
-    pub(super) fn starting(part: Part, home: Peer) -> Self {
+    pub(super) fn starting(part: BudgetShare, home: Peer) -> Self {
         Asking {
             home,
             tiers: Tiers::new(),
--- a/crates/permits/src/node/grants.rs
+++ b/crates/permits/src/node/grants.rs
@@ -54,7 +54,7 @@
     pub(super) fn permitted(
         &mut self, now: Micros, from: Peer, destination: i64, total: u16, few: bool, usable: bool,
     ) {
-        let (parts, again) = (self.parts(), self.terms.again);
+        let (parts, again) = (self.parts(), self.terms.renewal_interval);
         let Some(asking) = self.asking.get_mut(&destination) else { return };
         let more = total.wrapping_sub(asking.seen);
         // The message is older than the last one.
--- a/crates/permits/src/node/loans.rs
+++ b/crates/permits/src/node/loans.rs
@@ -33,7 +33,7 @@
 
     /// Avoids the steward of a destination that has been silent for too long, until it is heard.
     fn avoid_silent(&mut self, now: Micros, destination: i64) {
-        let silent = self.terms.silent;
+        let silent = self.terms.silence_timeout;
         let Some(asking) = self.asking.get(&destination) else { return };
         if let (Some(peer), Some(since)) = (asking.steward, asking.unheard_since)
             && peer != self.config.me
@@ -49,7 +49,7 @@
         let nearer = |peer: &Peer| rendezvous(destination, *peer) > rendezvous(destination, asked);
         let last = |peer: &Peer| self.probed.get(peer).copied().unwrap_or(LONG_AGO);
         let longest = self.avoided.keys().copied().filter(nearer).min_by_key(last);
-        if let Some(peer) = longest.filter(|peer| now - last(peer) >= self.terms.probe) {
+        if let Some(peer) = longest.filter(|peer| now - last(peer) >= self.terms.probe_interval) {
             self.probed.insert(peer, now);
             let seen = self.asking.get(&destination).map_or(0, |asking| asking.seen);
             let item = Item::Want { destination, seen, stamp: None, of: self.relays, tiers: Tiers::new() };
@@ -71,14 +71,14 @@
         let stamp = self.usable_stamp(now, to);
         let (relays, lease, earlier) = (self.relays, self.terms.lease, self.earlier.contains_key(&to));
         let Some(asking) = self.asking.get_mut(&destination) else { return };
-        let own = asking.part.mine(now);
+        let own = asking.part.is_usable_by_owner(now);
         let stamp = stamp.filter(|_| asking.part.lend(now, to, lease));
         // The previous build knows no stamps: a request to it lends for a lease from now on.
         if earlier {
             asking.part.lend(now, to, lease);
         }
         // A rate that the relay granted itself from its own part ends with the loan.
-        if own && !asking.part.mine(now) {
+        if own && !asking.part.is_usable_by_owner(now) {
             asking.rate = None;
         }
         let times = asking.count_request(now);
@@ -89,20 +89,20 @@
 
     /// The last stamp of a steward, if it is fresh and the steward answers fast enough for a loan.
     fn usable_stamp(&self, now: Micros, to: Peer) -> Option<Stamp> {
-        let heard = self.heard.get(&to).filter(|heard| now - heard.at <= self.terms.fresh())?;
-        let fast = heard.way.is_some_and(|way| way <= self.terms.there_and_back());
+        let heard = self.heard.get(&to).filter(|heard| now - heard.at <= self.terms.max_stamp_age())?;
+        let fast = heard.way.is_some_and(|way| way <= self.terms.max_round_trip());
         fast.then_some(heard.stamp)
     }
 
     /// Sets the time of the next request.
     fn schedule(&mut self, now: Micros, destination: i64) {
-        let again = self.terms.again;
+        let again = self.terms.renewal_interval;
         let Some(asking) = self.asking.get_mut(&destination) else { return };
         asking.said = now;
         // An unanswered request is repeated sooner while messages wait.
         let waits = !asking.tiers.is_empty() && asking.unanswered.is_some();
         asking.say_at = now + if waits { (again / 4).min(UNANSWERED.max(again / 8)) } else { again };
-        if !asking.part.mine(now) {
+        if !asking.part.is_usable_by_owner(now) {
             asking.say_at = asking.say_at.min(asking.part.free_at().max(now + SAID_APART));
         }
         if !asking.tiers.is_empty() {
@@ -113,7 +113,7 @@
     /// While its part is its own, a relay is its own steward of that part.
     pub(super) fn ask_oneself(&mut self, now: Micros, destination: i64) {
         let Some(asking) = self.asking.get(&destination) else { return };
-        let own = asking.part.mine(now);
+        let own = asking.part.is_usable_by_owner(now);
         let (seen, tiers) = (asking.seen, if own { asking.tiers.clone() } else { Tiers::new() });
         self.steward.own(destination, own);
         let asker = Asker { peer: self.config.me, incarnation: self.config.incarnation, lends: None };
@@ -131,7 +131,7 @@
     /// As its own steward, a relay reports the waiting times to itself.
     pub(super) fn tell_oneself(&mut self, now: Micros, destination: i64) {
         let waits = self.steward.waits(now, destination, self.config.me);
-        if !waits.is_none() {
+        if !waits.is_zero() {
             self.waits.push((destination, waits));
         }
     }
--- a/crates/permits/src/node/mod.rs
+++ b/crates/permits/src/node/mod.rs
@@ -15,10 +15,10 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use escrow::{Part, Terms};
+use escrow::{BudgetShare, LoanTerms};
 use fleet::nearest;
 use fleet::note::{Replay, Stamp};
-use overload::waits::Waits;
+use overload::waits::MinimumWaits;
 
 use crate::note::{Item, MOST_TIERS};
 use crate::steward::{Cold, Fleet, Grant, Queue, Steward};
@@ -90,7 +90,7 @@
 #[derive(Debug)]
 pub struct Node {
     config: Config,
-    terms: Terms,
+    terms: LoanTerms,
     started: Micros,
     /// The largest accepted count of relays.
     relays: Peer,
@@ -115,7 +115,7 @@
     to_earlier: Vec<(Peer, Vec<Item>)>,
     given: Vec<Given>,
     /// Waiting times reported by stewards.
-    waits: Vec<(i64, Waits)>,
+    waits: Vec<(i64, MinimumWaits)>,
 }
 
 impl Node {
@@ -124,7 +124,7 @@
         let Config { sharing, me, relays, follows, .. } = config;
         let fleet = Fleet { sharing, me, relays, follows };
         Node {
-            terms: Terms::of(u32::from(config.relays)),
+            terms: LoanTerms::of(u32::from(config.relays)),
             started: now,
             relays: config.relays,
             steward: Steward::new(config.cold, fleet),
@@ -200,7 +200,7 @@
     }
 
     /// The waiting times that stewards reported since the last call, by destination.
-    pub fn take_waits(&mut self) -> Vec<(i64, Waits)> {
+    pub fn take_waits(&mut self) -> Vec<(i64, MinimumWaits)> {
         std::mem::take(&mut self.waits)
     }
 
@@ -218,7 +218,7 @@
     pub fn shares(&self, now: Micros) -> Vec<Share> {
         let share = |(destination, asking): (&i64, &Asking)| {
             let (lent, sliced) = self.steward.lent(now, *destination);
-            let own = self.parts() && asking.part.mine(now);
+            let own = self.parts() && asking.part.is_usable_by_owner(now);
             let steward = asking.steward;
             Share { destination: *destination, steward, own, lent, of: self.relays, sliced }
         };
@@ -233,7 +233,7 @@
     /// The state of a destination, created where there is none. A part that an earlier process lent comes back one
     /// lease after the start.
     fn asking(&mut self, destination: i64) -> &mut Asking {
-        let part = Part::starting(self.started, self.terms.lease);
+        let part = BudgetShare::at_start(self.started, self.terms.lease);
         let Config { relays, me, .. } = self.config;
         let starting = || Asking::starting(part, home(destination, relays, me));
         self.asking.entry(destination).or_insert_with(starting)
--- a/crates/permits/src/node/receive.rs
+++ b/crates/permits/src/node/receive.rs
@@ -2,7 +2,7 @@
 
 use fleet::link::Sender;
 use fleet::note::Stamp;
-use overload::waits::Waits;
+use overload::waits::MinimumWaits;
 
 use crate::note::Item;
 use crate::steward::{Answer, Asker, Report, SLICE_FOR};
@@ -21,7 +21,7 @@
             }
             Item::Waits { destination, levels } => {
                 if self.asking.get(&destination).is_some_and(|asking| asking.steward == Some(from.peer)) {
-                    self.waits.push((destination, Waits::told(levels)));
+                    self.waits.push((destination, MinimumWaits::from_levels(levels)));
                 }
             }
             Item::Permit { destination, total, few, age, stamp, of } => {
@@ -69,7 +69,7 @@
             _ => {}
         }
         let waits = self.steward.waits(now, destination, from.peer);
-        if !waits.is_none() {
+        if !waits.is_zero() {
             let levels = waits.levels().to_vec();
             self.out.push((from.peer, Item::Waits { destination, levels }));
         }
@@ -84,7 +84,7 @@
 
     /// A steward grants a rate, in calls per second, in answer to the request of a stamp.
     fn rated(&mut self, now: Micros, from: &Sender, destination: i64, (per_s, stamp): (f64, Stamp)) {
-        let (until, again) = (now - stamp.age(now) + SLICE_FOR, self.terms.again);
+        let (until, again) = (now - stamp.age(now) + SLICE_FOR, self.terms.renewal_interval);
         let Some(asking) = self.asking.get_mut(&destination) else { return };
         (asking.steward, asking.unanswered) = (Some(from.peer), None);
         asking.unheard_since = None;
--- a/crates/permits/src/node/report.rs
+++ b/crates/permits/src/node/report.rs
@@ -11,7 +11,7 @@
     pub fn report(&mut self, now: Micros, destination: i64, report: &Report) {
         let Some(asking) = self.asking.get(&destination) else { return };
         let (steward, me) = (asking.steward, self.config.me);
-        let own = self.parts() && asking.part.mine(now);
+        let own = self.parts() && asking.part.is_usable_by_owner(now);
         if own || steward == Some(me) {
             self.steward.report(now, destination, report);
         }
@@ -27,7 +27,7 @@
         if !asking.rated(now) || report.sign != Sign::Well || report.wait.is_some() {
             return false;
         }
-        if now - asking.reported < self.terms.again {
+        if now - asking.reported < self.terms.renewal_interval {
             return true;
         }
         asking.reported = now;
--- a/crates/permits/src/note.rs
+++ b/crates/permits/src/note.rs
@@ -89,7 +89,7 @@
         /// The destination.
         destination: i64,
         /// Worths, the highest first, and steps that the first and the last of each wait.
-        levels: Vec<overload::waits::Level>,
+        levels: Vec<overload::waits::PriorityWait>,
     },
 }
 
@@ -114,7 +114,7 @@
     match item {
         Item::Want { tiers, .. } => tiers.len() <= MOST_TIERS,
         Item::Permit { .. } => true,
-        Item::Waits { levels, .. } => levels.len() <= overload::waits::MOST_LEVELS,
+        Item::Waits { levels, .. } => levels.len() <= overload::waits::MAX_LEVELS,
         Item::Report { limit, .. } => (0.0..MOST_RATE).contains(limit),
         Item::Rate { per_s, .. } => (0.0..MOST_RATE).contains(per_s),
     }
--- a/crates/permits/src/steward.rs
+++ b/crates/permits/src/steward.rs
@@ -5,9 +5,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use escrow::slot;
+use escrow::next_time_slot;
 use fleet::note::Stamp;
-use overload::waits::Waits;
+use overload::waits::MinimumWaits;
 
 use crate::limit::{Limit, WANTS_FOR};
 use crate::{Micros, Peer, SECOND, Sharing, Tiers, take};
@@ -54,7 +54,7 @@
     /// Messages by worth, in thousandths, the worthiest first.
     pub waiting: Vec<(u16, u32)>,
     /// How long they wait at the least.
-    pub waits: Waits,
+    pub waits: MinimumWaits,
 }
 
 /// A permit given.
@@ -103,7 +103,7 @@
     pub fn own(&mut self, destination: i64, own: bool) {
         let me = self.fleet.me;
         if let Some(limit) = self.limit(destination) {
-            if own { limit.loans.own(me) } else { limit.loans.returned(me) }
+            if own { limit.loans.add_own(me) } else { limit.loans.remove_own(me) }
         }
     }
 
@@ -146,7 +146,7 @@
         limit.forget_calls(now);
         let few = limit.few;
         if let Some((stamp, lease)) = lends {
-            limit.loans.lent(now, from, stamp, lease);
+            limit.loans.add(now, from, stamp, lease);
         }
         let ask = limit.asks.entry(from).or_default();
         let told = ask.total.wrapping_sub(seen);
@@ -170,7 +170,7 @@
                 take(&mut ask.tiers);
             }
         }
-        limit.backlog.says(now, from, &ask.tiers);
+        limit.backlog.update(now, from, &ask.tiers);
         let age = (now - ask.granted).clamp(0, SECOND);
         let grant = Grant { to: from, destination, total: ask.total, few, age };
         Some(match limit.sliced(fleet) {
@@ -181,12 +181,12 @@
 
     /// How long what waits for a destination waits at the least, as a relay that asks is told it. Nothing is told while
     /// calls do not start as they did: it is out, told to wait, or returns.
-    pub fn waits(&self, now: Micros, destination: i64, who: Peer) -> Waits {
+    pub fn waits(&self, now: Micros, destination: i64, who: Peer) -> MinimumWaits {
         let told = |limit: &Limit| {
             let warm = limit.back.is_none_or(|back| now - back >= self.cold.warm_after);
             let steady = !limit.out && warm && limit.wait_until <= now && !limit.sliced(self.fleet);
             let rate = limit.rate(now, self.cold, self.fleet, 0).filter(|_| steady)?;
-            Some(limit.backlog.waits(now, who, Some(rate)))
+            Some(limit.backlog.minimum_waits(now, who, Some(rate)))
         };
         self.limits.get(&destination).and_then(told).unwrap_or_default()
     }
@@ -199,8 +199,13 @@
     /// Destinations of which this relay is the steward and where something waits.
     pub fn queues(&self, now: Micros) -> Vec<Queue> {
         let queue = |(destination, limit): (&i64, &Limit)| {
-            let waiting: Vec<(u16, u32)> =
-                limit.backlog.waiting(now).into_iter().rev().map(|(worth, n)| (worth, n as u32)).collect();
+            let waiting: Vec<(u16, u32)> = limit
+                .backlog
+                .waiting_by_priority(now)
+                .into_iter()
+                .rev()
+                .map(|(worth, n)| (worth, n as u32))
+                .collect();
             let per_s = limit.rate(now, self.cold, self.fleet, 0).unwrap_or(0.0);
             let waits = self.waits(now, *destination, self.fleet.me);
             (!waiting.is_empty()).then_some(Queue { destination: *destination, per_s, waiting, waits })
@@ -216,7 +221,7 @@
             let cold = limit.back.is_some_and(|back| now - back < self.cold.warm_after);
             let cut = || {
                 let waits = self.waits(now, **destination, self.fleet.me);
-                waits.levels().iter().any(|(worth, ..)| waits.of(*worth, 0.0) >= long)
+                waits.levels().iter().any(|(worth, ..)| waits.wait_at(*worth, 0.0) >= long)
             };
             asked && (limit.out || cold) || cut()
         };
@@ -251,7 +256,7 @@
                 // Relays that hear nobody take turns by the clock, so that their calls do not meet.
                 if let Some(period) = limit.turns(now, fleet) {
                     let from = limit.next.max(now - MISSED.min(period / 4));
-                    limit.next = slot(from, fleet.me, period);
+                    limit.next = next_time_slot(from, fleet.me, period);
                     if limit.next > now {
                         break;
                     }
@@ -261,7 +266,7 @@
                 take(&mut ask.tiers);
                 ask.total = ask.total.wrapping_add(1);
                 (ask.granted, ask.since) = (now, now);
-                limit.backlog.starts(now, peer);
+                limit.backlog.record_start(now, peer);
                 let (total, age) = (ask.total, 0);
                 grants.push(Grant { to: peer, destination: *destination, total, few, age });
                 limit.calls.push_back(now);
--- a/crates/repeats/src/hand.rs
+++ b/crates/repeats/src/hand.rs
@@ -1,7 +1,7 @@
 //! The repeats that a relay's decision module may start at one destination. Owns how long they are good, and what is said of
 //! those that wait. It must never let more start than were handed to it.
 
-use overload::waits::Waits;
+use overload::waits::MinimumWaits;
 use permits::Tiers;
 use serde::{Deserialize, Serialize};
 
@@ -17,7 +17,7 @@
 pub struct Hand {
     count: u32,
     good_until: Micros,
-    waits: (Waits, Micros),
+    waits: (MinimumWaits, Micros),
     /// Another process asks anew.
     #[serde(skip)]
     wanted: Tiers,
@@ -35,7 +35,7 @@
     }
 
     /// So many more may start; and so long, by worth, wait those that wait, where that is told.
-    pub fn given(&mut self, now: Micros, repeats: u32, waits: Option<Waits>) {
+    pub fn given(&mut self, now: Micros, repeats: u32, waits: Option<MinimumWaits>) {
         if repeats > 0 {
             (self.count, self.good_until) = (self.count(now) as u32 + repeats, now + GOOD_FOR);
         }
@@ -54,7 +54,7 @@
     }
 
     /// How long those that may not start yet wait at the least.
-    pub fn waits(&self, now: Micros) -> Option<&Waits> {
+    pub fn waits(&self, now: Micros) -> Option<&MinimumWaits> {
         let (waits, until) = &self.waits;
         (self.count(now) == 0 && now < *until).then_some(waits)
     }
--- a/crates/repeats/src/node.rs
+++ b/crates/repeats/src/node.rs
@@ -10,7 +10,7 @@
 use fleet::members::Members;
 use fleet::nearest;
 use overload::backlog::Backlog;
-use overload::waits::Waits;
+use overload::waits::MinimumWaits;
 use permits::{Tiers, take, waiting};
 
 use crate::note::{CHANNEL, Item, MOST_TIERS, read};
@@ -57,7 +57,7 @@
     /// So many more.
     pub repeats: u32,
     /// By worth.
-    pub waits: Option<Waits>,
+    pub waits: Option<MinimumWaits>,
 }
 
 /// What waits at another relay.
@@ -272,7 +272,7 @@
         nearest(destination, self.config.relays, avoided).unwrap_or(self.config.me)
     }
 
-    fn hand(&mut self, destination: i64, repeats: u32, waits: Option<Waits>) {
+    fn hand(&mut self, destination: i64, repeats: u32, waits: Option<MinimumWaits>) {
         let handed =
             self.handed.entry(destination).or_insert(Handed { destination, repeats: 0, waits: None });
         handed.repeats += repeats;
@@ -376,12 +376,12 @@
         let me = self.config.me;
         let Some(account) = self.accounts.get_mut(&destination) else { return };
         let wants = account.wants.clone();
-        account.backlog.says(now, me, &wants);
+        account.backlog.update(now, me, &wants);
         let mut own = 0;
         while account.purse.whole() > 0
             && let Some(peer) = account.best(now, me)
         {
-            account.backlog.starts(now, peer);
+            account.backlog.record_start(now, peer);
             if peer == me {
                 account.purse.spend(1);
                 take(&mut account.wants);
@@ -397,17 +397,17 @@
             }
         }
         let waits = (!account.wants.is_empty()).then(|| self.waits(now, destination, me));
-        if own > 0 || waits.as_ref().is_some_and(|waits| !waits.is_none()) {
+        if own > 0 || waits.as_ref().is_some_and(|waits| !waits.is_zero()) {
             self.hand(destination, own, waits);
         }
     }
 
     /// How long repeats wait at the least, as a relay is told it: at the rate at which credits come.
-    fn waits(&mut self, now: Micros, destination: i64, who: Peer) -> Waits {
+    fn waits(&mut self, now: Micros, destination: i64, who: Peer) -> MinimumWaits {
         let relays = f64::from(self.config.relays.max(1));
-        let Some(account) = self.accounts.get_mut(&destination) else { return Waits::default() };
+        let Some(account) = self.accounts.get_mut(&destination) else { return MinimumWaits::default() };
         let rate = account.income(now, 0) + FLOOR as f64 / UNIT as f64 / relays;
-        account.backlog.waits(now, who, Some(rate))
+        account.backlog.minimum_waits(now, who, Some(rate))
     }
 
     fn item(&mut self, now: Micros, from: &Sender, item: Item) {
@@ -427,7 +427,7 @@
                     (0..total.saturating_sub(had)).for_each(|_| take(&mut ask.tiers));
                 }
                 let tiers = ask.tiers.clone();
-                account.backlog.says(now, from.peer, &tiers);
+                account.backlog.update(now, from.peer, &tiers);
                 self.owed.insert((from.peer, destination));
                 self.changed.insert(destination);
             }
@@ -453,7 +453,7 @@
             }
             Item::Waits { destination, levels } => {
                 if self.accounts.contains_key(&destination) {
-                    self.hand(destination, 0, Some(Waits::told(levels)));
+                    self.hand(destination, 0, Some(MinimumWaits::from_levels(levels)));
                 }
             }
         }
@@ -467,8 +467,8 @@
             let total = account.purse.given_to((peer, start));
             let waits = account.asks.get(&peer).is_some_and(|ask| !ask.tiers.is_empty());
             self.out.push((peer, Item::Gift { destination, start, total, answers: true }));
-            let waits = if waits { self.waits(now, destination, peer) } else { Waits::default() };
-            if !waits.is_none() {
+            let waits = if waits { self.waits(now, destination, peer) } else { MinimumWaits::default() };
+            if !waits.is_zero() {
                 self.out.push((peer, Item::Waits { destination, levels: waits.levels().to_vec() }));
             }
         }
--- a/crates/repeats/src/note.rs
+++ b/crates/repeats/src/note.rs
@@ -1,7 +1,7 @@
 //! What relays tell each other of repeats, as items in a frame of the link. Owns their layout. It must never panic on
 //! whatever comes.
 
-use overload::waits::{Level, MOST_LEVELS};
+use overload::waits::{MAX_LEVELS, PriorityWait};
 use permits::Tiers;
 use serde::{Deserialize, Serialize};
 
@@ -46,7 +46,7 @@
         /// The destination.
         destination: i64,
         /// Worths, the highest first, and steps that the first and the last of each wait.
-        levels: Vec<Level>,
+        levels: Vec<PriorityWait>,
     },
 }
 
@@ -63,7 +63,7 @@
     let read = items.len();
     items.retain(|item| match item {
         Item::Want { tiers, .. } => tiers.len() <= MOST_TIERS,
-        Item::Waits { levels, .. } => levels.len() <= MOST_LEVELS,
+        Item::Waits { levels, .. } => levels.len() <= MAX_LEVELS,
         Item::Gift { .. } | Item::Had { .. } => true,
     });
     let made_sense = whole && items.len() == read;
--- a/src/fleet/cuts.rs
+++ b/src/fleet/cuts.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use overload::waits::STEP;
+use overload::waits::STEP_US;
 use permits::steward::Queue;
 use serde_json::{Value, json};
 use tracing::info;
@@ -25,7 +25,7 @@
 /// The highest worth of which the first message waits for long.
 fn cut(queue: &Queue) -> Option<(u16, f64)> {
     let levels = queue.waits.levels().iter();
-    let mut long = levels.map(|(worth, first, _)| (*worth, Micros::from(*first) * STEP));
+    let mut long = levels.map(|(worth, first, _)| (*worth, Micros::from(*first) * STEP_US));
     long.find(|(_, wait)| *wait >= WAITS).map(|(worth, wait)| (worth, wait as f64 / 1e6))
 }
 
@@ -70,7 +70,7 @@
 pub(super) fn show(queue: &Queue) -> Value {
     let waiting: Vec<String> =
         queue.waiting.iter().map(|(worth, n)| format!("{n} of {:.2}", f64::from(*worth) / 1000.0)).collect();
-    let seconds = |steps: u8| Micros::from(steps) as f64 * STEP as f64 / 1e6;
+    let seconds = |steps: u8| Micros::from(steps) as f64 * STEP_US as f64 / 1e6;
     let waits = queue.waits.levels().iter();
     let waits: Vec<String> = waits
         .map(|(worth, first, last)| {
--- a/src/input.rs
+++ b/src/input.rs
@@ -39,7 +39,7 @@
     /// A limit coordinator granted calls to a destination.
     Granted(permits::node::Given),
     /// A limit coordinator sent the minimum waits of messages to a destination, by priority.
-    MinimumWaits(i64, overload::waits::Waits),
+    MinimumWaits(i64, overload::waits::MinimumWaits),
     /// The fleet's retry budget permits retries.
     RetryTokens(repeats::node::Handed),
     /// The destination set, or a part of it, changed.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -444,7 +444,7 @@
         /// The destination.
         destination: DestinationId,
         /// By worth, in thousandths.
-        waits: overload::waits::Waits,
+        waits: overload::waits::MinimumWaits,
     },
     /// The senders' budget at a destination lets so many more repeats start.
     Repeats {
@@ -453,7 +453,7 @@
         /// Repeats that may start.
         repeats: u32,
         /// How long those that wait beyond them wait at the least, by worth, where that is told.
-        waits: Option<overload::waits::Waits>,
+        waits: Option<overload::waits::MinimumWaits>,
     },
     /// A timer set by the module is due.
     Timer(u64),
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use overload::waits::Waits;
+use overload::waits::MinimumWaits;
 use permits::held::Gate;
 use repeats::hand::Hand;
 use serde::{Deserialize, Serialize};
@@ -501,7 +501,8 @@
         if refusable {
             let after = self.settings.longest_advice.map(|most| {
                 let lane = self.destinations.get(&message.destination).map(|d| &self.lanes[d.lane]);
-                let queue = |lane: &Lane| lane.said(now).map_or(0, |waits| waits.of(message.tier(), 1.0));
+                let queue =
+                    |lane: &Lane| lane.said(now).map_or(0, |waits| waits.wait_at(message.tier(), 1.0));
                 let wait = lane.map_or(0, |lane| (lane.ready_at(now, true) - now).max(queue(lane)));
                 wait.min(most).max(most / 2)
             });
@@ -598,14 +599,14 @@
             }
             let lane = &mut self.lanes[destination.lane];
             if lane.trouble.is_some() || lane.wait_until > Some(now) {
-                lane.backlog.rest();
+                lane.backlog.reset();
                 continue;
             }
             let tiers = permits::tiers(destination.queue.iter().map(|(rank, _)| rank.0.0));
-            lane.backlog.says(now, 0, &tiers);
+            lane.backlog.update(now, 0, &tiers);
             let lane = &self.lanes[destination.lane];
-            let waits = lane.said(now).cloned().unwrap_or_else(|| lane.backlog.waits(now, 0, None));
-            if waits.is_none() {
+            let waits = lane.said(now).cloned().unwrap_or_else(|| lane.backlog.minimum_waits(now, 0, None));
+            if waits.is_zero() {
                 continue;
             }
             let parts = tiers.iter().flat_map(|(_, n)| (0..*n).map(move |at| f64::from(at) / f64::from(*n)));
@@ -618,18 +619,18 @@
     }
 
     /// Whether a message may start in time, at its present worth or at one that it fades to.
-    fn has_hope(&self, now: Micros, message: &Message, part: f64, waits: &Waits) -> bool {
+    fn has_hope(&self, now: Micros, message: &Message, part: f64, waits: &MinimumWaits) -> bool {
         let (last, mut from, mut part) = (self.last_start(message), now, part);
         // What is worth least gives way: a worthier class is judged by the queue of its whole worth, as the
         // lesser ones that stand before what is late of it fade below it.
         let (worth, classes) = (self.settings.classes[message.class].worth, &self.settings.classes);
         let whole = permits::tier((worth * WORTH_UNIT) as u64);
-        if classes.iter().any(|class| class.worth < worth) && now + waits.of(whole, 1.0) < last {
+        if classes.iter().any(|class| class.worth < worth) && now + waits.wait_at(whole, 1.0) < last {
             return true;
         }
         while from < last {
             let (worth, until) = self.worth(message, from);
-            if now + waits.of(permits::tier(worth), part) < until.min(last) {
+            if now + waits.wait_at(permits::tier(worth), part) < until.min(last) {
                 return true;
             }
             (from, part) = (until, 0.0);
@@ -804,7 +805,7 @@
                 }
                 lane.out += 1;
                 lane.held.take();
-                lane.backlog.starts(now, 0);
+                lane.backlog.record_start(now, 0);
                 lane.pacer.started(now);
                 lane.take_turn(
                     &self.settings,
--- a/src/state.rs
+++ b/src/state.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use overload::backlog::Backlog;
-use overload::waits::Waits;
+use overload::waits::MinimumWaits;
 use permits::held::Held;
 use repeats::hand::Hand;
 use serde::{Deserialize, Serialize};
@@ -55,7 +55,7 @@
     #[serde(default)]
     pub(crate) backlog: Backlog,
     #[serde(default)]
-    pub(crate) waits: (Waits, Micros),
+    pub(crate) waits: (MinimumWaits, Micros),
 }
 
 impl Lane {
@@ -66,7 +66,7 @@
     }
 
     /// What a steward said lately of how long all that waits here waits.
-    pub(crate) fn said(&self, now: Micros) -> Option<&Waits> {
+    pub(crate) fn said(&self, now: Micros) -> Option<&MinimumWaits> {
         Some(&self.waits).filter(|(_, until)| now < *until).map(|(waits, _)| waits)
     }
 
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -105,7 +105,7 @@
     let mut rig = Rig::listed(Settings { slots: 1, ..settings() });
     rig.arrive(1, SAFE, 1);
     let destination = DestinationId(1);
-    let waits = overload::waits::Waits::told(vec![(1000, 210, 210)]);
+    let waits = overload::waits::MinimumWaits::from_levels(vec![(1000, 210, 210)]);
     rig.event(Event::Waits { destination, waits });
     assert_eq!(
         ended(&resumed(&mut rig, 2, SAFE, 0, false)),
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use overload::waits::Waits;
+use overload::waits::MinimumWaits;
 use rig::*;
 use tulipfall::interface::*;
 
@@ -19,7 +19,7 @@
     actions.iter().filter_map(want).collect()
 }
 
-fn credit(rig: &mut Rig, repeats: u32, waits: Option<Waits>) -> Vec<Action> {
+fn credit(rig: &mut Rig, repeats: u32, waits: Option<MinimumWaits>) -> Vec<Action> {
     rig.event(Event::Repeats { destination: DestinationId(1), repeats, waits })
 }
 
@@ -48,11 +48,14 @@
     rig.arrive(1, SAFE, 1);
     rig.done(1, 1, Outcome::ConnectFailed);
     assert_eq!(
-        ended(&credit(&mut rig, 0, Some(Waits::told(vec![(1000, 50, 50)])))),
+        ended(&credit(&mut rig, 0, Some(MinimumWaits::from_levels(vec![(1000, 50, 50)])))),
         [],
         "five seconds of twenty"
     );
-    assert_eq!(ended(&credit(&mut rig, 0, Some(Waits::told(vec![(1000, 250, 250)])))), [(1, true)]);
+    assert_eq!(
+        ended(&credit(&mut rig, 0, Some(MinimumWaits::from_levels(vec![(1000, 250, 250)])))),
+        [(1, true)]
+    );
 }
 
 #[test]
--- a/tests/shedding.rs
+++ b/tests/shedding.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use overload::waits::Waits;
+use overload::waits::MinimumWaits;
 use rig::*;
 use tulipfall::interface::*;
 
@@ -68,7 +68,7 @@
         let mut rig = Rig::listed(Settings { slots: 1, ..settings() });
         rig.arrive(1, SAFE, 1);
         let destination = DestinationId(1);
-        rig.event(Event::Waits { destination, waits: Waits::told(levels) });
+        rig.event(Event::Waits { destination, waits: MinimumWaits::from_levels(levels) });
         rig.pass(later);
         let mut ends = ended(&rig.arrive(2, SAFE, 1));
         ends.extend(ended(&rig.arrive(3, PRECIOUS, 1)));
@@ -86,7 +86,7 @@
     rig.arrive(1, SAFE, 1);
     rig.done(1, 1, Outcome::Error);
     let destination = DestinationId(1);
-    let waits = Waits::told(vec![(9000, 250, 250)]);
+    let waits = MinimumWaits::from_levels(vec![(9000, 250, 250)]);
     assert_eq!(ended(&rig.event(Event::Waits { destination, waits })), [], "it may be back at any time");
 }
 
@@ -100,11 +100,11 @@
     // At its late worth of 1.2 it would wait too long; the queue of its whole worth is short.
     let levels = vec![(3000, 0, 20), (1200, 250, 250)];
     rig.pass(10 * S);
-    let waits = Waits::told(levels.clone());
+    let waits = MinimumWaits::from_levels(levels.clone());
     assert_eq!(ended(&rig.event(Event::Waits { destination, waits })), []);
     // One of the least class has no such hope.
     assert_eq!(ended(&rig.arrive(4, SAFE, 1)), [(4, true)]);
-    let waits = Waits::told(vec![(3000, 0, 250), (1200, 250, 250)]);
+    let waits = MinimumWaits::from_levels(vec![(3000, 0, 250), (1200, 250, 250)]);
     assert!(!ended(&rig.event(Event::Waits { destination, waits })).is_empty(), "its own queue is too long");
 }
 
@@ -115,7 +115,7 @@
         rig.arrive(1, SAFE, 1);
         let destination = DestinationId(1);
         let levels = vec![(2000, 0, 0), (1000, steps, steps)];
-        rig.event(Event::Waits { destination, waits: Waits::told(levels) });
+        rig.event(Event::Waits { destination, waits: MinimumWaits::from_levels(levels) });
         rig.event(Event::Stop(rig.now + 100 * MS));
         let advice = |action: &Action| match action {
             Action::Refuse { after, .. } => *after,
