--- a/tests/attribution.rs
+++ b/tests/attribution.rs
@@ -1,5 +1,5 @@
-//! Answers that come twice, late, in part or unasked: real processes under load, judged by what endpoints, the agent and
-//! clients saw.
+//! Answers that arrive twice, late, truncated or unsolicited. Real processes run under load, and the events seen by
+//! endpoints, the discovery agent and clients are checked.
 
 #[path = "attribution/endpoints.rs"]
 mod endpoints;
@@ -10,34 +10,35 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-use endpoints::{End, Plan, Seen, Shared, Surplus};
+use endpoints::{CallEnd, EndpointBehavior, Observations, SharedObservations, UnsolicitedData};
 use stand::site::configuration;
 use stand::*;
 
-/// Clients that hand messages in side by side.
+/// Number of clients that submit messages concurrently.
 const CLIENTS: usize = 8;
-/// The time for which they do.
-const LASTING: Duration = Duration::from_secs(6);
-/// The time that they give a message, in milliseconds.
+/// Time for which the clients submit messages.
+const SUBMIT_DURATION: Duration = Duration::from_secs(6);
+/// Time to live of each message, in milliseconds.
 const TIME_LEFT_MS: u64 = 2_500;
-/// A message's end may come so long after its time: 300 ms by the protocol, and the 50 ms of every limit there.
-const SLACK: Duration = Duration::from_millis(350);
-/// The last digit of the ids of non-idempotent messages.
-const ONCE: &str = "1";
+/// Latest end of a message after its deadline: 300 ms by the protocol, plus its general tolerance of 50 ms.
+const END_TOLERANCE: Duration = Duration::from_millis(350);
+/// Last digit of the ids of non-idempotent messages.
+const NON_IDEMPOTENT_SUFFIX: &str = "1";
 
-/// When the time of each accepted message is up.
+/// Deadline of each accepted message.
 type Accepted = BTreeMap<String, Instant>;
 
 fn client(address: &str, number: usize, destinations: usize, accepted: &Mutex<Accepted>) {
-    let until = Instant::now() + LASTING;
+    let until = Instant::now() + SUBMIT_DURATION;
     let mut stream = connect(address);
     for n in 0.. {
         let now = Instant::now();
         if now >= until {
             return;
         }
-        let (class, last) = if n % 2 == 0 { ("status-update", "0") } else { ("paid-extra", ONCE) };
-        let id = format!("{number}-{n}-{last}");
+        let (class, suffix) =
+            if n % 2 == 0 { ("status-update", "0") } else { ("paid-extra", NON_IDEMPOTENT_SUFFIX) };
+        let id = format!("{number}-{n}-{suffix}");
         let destination = (number + n / 2) % destinations;
         let request = handed_in(class, &id, destination as i64, TIME_LEFT_MS, id.as_bytes());
         let answer = ask(&mut stream, &request).expect("an answer");
@@ -49,7 +50,7 @@
     }
 }
 
-/// What is wrong with a run.
+/// Violations found in a run.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct Findings {
     ran_twice: Vec<String>,
@@ -57,25 +58,26 @@
     lost: Vec<String>,
 }
 
-fn judge(seen: &Seen, accepted: &Accepted) -> Findings {
+fn find_violations(seen: &Observations, accepted: &Accepted) -> Findings {
     let ended = |id: &String, due: Instant| {
         let calls = seen.calls.get(id).map(Vec::as_slice).unwrap_or_default();
-        let delivered = calls.iter().any(|call| matches!(call.end, End::Delivered(at) if at <= due + SLACK));
-        delivered || seen.reports.get(id).is_some_and(|at| *at <= due + SLACK)
+        let delivered =
+            calls.iter().any(|call| matches!(call.end, CallEnd::Delivered(at) if at <= due + END_TOLERANCE));
+        delivered || seen.reports.get(id).is_some_and(|at| *at <= due + END_TOLERANCE)
     };
     Findings {
-        ran_twice: seen.repeated.iter().filter(|id| id.ends_with(ONCE)).cloned().collect(),
+        ran_twice: seen.repeated.iter().filter(|id| id.ends_with(NON_IDEMPOTENT_SUFFIX)).cloned().collect(),
         overlapping: seen.overlapping.clone(),
         lost: accepted.iter().filter(|(id, due)| !ended(id, **due)).map(|(id, _)| id.clone()).collect(),
     }
 }
 
-/// Plays clients, a relay, endpoints and an agent, and expects that no rule is broken.
-fn play(name: &str, seed: u64, plans: &[Plan], (unanswered, twice): (f64, f64)) {
-    let seen = Shared::default();
+/// Runs clients, a relay, endpoints and a discovery agent, and asserts that no rule is violated.
+fn run(name: &str, seed: u64, behaviors: &[EndpointBehavior], (unanswered, twice): (f64, f64)) {
+    let seen = SharedObservations::default();
     let addresses: Vec<String> = (0..)
-        .zip(plans)
-        .map(|(n, plan)| endpoints::endpoint(plan.clone(), seed + (n << 32), &seen))
+        .zip(behaviors)
+        .map(|(n, behavior)| endpoints::endpoint(behavior.clone(), seed + (n << 32), &seen))
         .collect();
     let folder = folder(name);
     let mut file = configuration(&addresses);
@@ -88,66 +90,66 @@
     std::thread::scope(|scope| {
         for number in 0..CLIENTS {
             let (address, accepted) = (&program.addresses[0], &accepted);
-            scope.spawn(move || client(address, number, plans.len(), accepted));
+            scope.spawn(move || client(address, number, behaviors.len(), accepted));
         }
     });
-    std::thread::sleep(Duration::from_millis(TIME_LEFT_MS) + SLACK);
+    std::thread::sleep(Duration::from_millis(TIME_LEFT_MS) + END_TOLERANCE);
     let (seen, accepted) = (seen.lock().expect("no panic"), accepted.into_inner().expect("no panic"));
     assert!(accepted.len() > 500, "only {} messages were accepted", accepted.len());
-    let found = judge(&seen, &accepted);
+    let findings = find_violations(&seen, &accepted);
     let calls: usize = seen.calls.values().map(Vec::len).sum();
     println!(
         "{name}, seed {seed}: {} accepted, {calls} calls on {} connections, {} reports; ran twice {}, overlapping {}, lost {}",
         accepted.len(),
         seen.connections,
         seen.reports.len(),
-        found.ran_twice.len(),
-        found.overlapping.len(),
-        found.lost.len()
+        findings.ran_twice.len(),
+        findings.overlapping.len(),
+        findings.lost.len()
     );
-    assert_eq!(found, Findings::default());
+    assert_eq!(findings, Findings::default());
 }
 
-/// Two endpoints; one answer in ten is followed by something.
-fn followed_by(name: &str, surplus: Surplus, late_ms: Range<u64>) {
-    let plan = Plan { surplus: Some(surplus), share: 0.1, late_ms, fails: false };
-    play(name, 11, &[plan.clone(), plan], (0.0, 0.0));
+/// Runs two endpoints that send unsolicited data after one answer in ten.
+fn run_with_unsolicited_data(name: &str, unsolicited: UnsolicitedData, delay_ms: Range<u64>) {
+    let behavior = EndpointBehavior { unsolicited: Some(unsolicited), fraction: 0.1, delay_ms, fails: false };
+    run(name, 11, &[behavior.clone(), behavior], (0.0, 0.0));
 }
 
 #[test]
-fn answers_that_come_once_break_no_rule() {
-    let plan = Plan { surplus: None, share: 0.0, late_ms: 0..1, fails: false };
-    play("attribution-clean", 11, &[plan.clone(), plan], (0.0, 0.0));
+fn no_violation_if_each_answer_arrives_once() {
+    let behavior = EndpointBehavior { unsolicited: None, fraction: 0.0, delay_ms: 0..1, fails: false };
+    run("attribution-clean", 11, &[behavior.clone(), behavior], (0.0, 0.0));
 }
 
 #[test]
-fn a_copy_of_an_answer_that_comes_soon_is_not_taken_for_another_calls() {
-    followed_by("attribution-soon", Surplus::Copy, 0..11);
+fn a_copy_right_after_an_answer_is_not_attributed_to_another_call() {
+    run_with_unsolicited_data("attribution-soon", UnsolicitedData::Copy, 0..11);
 }
 
 #[test]
-fn a_copy_of_an_answer_that_comes_while_the_next_call_is_out_is_not_taken_for_its_answer() {
-    followed_by("attribution-meanwhile", Surplus::Copy, 15..61);
+fn a_copy_during_the_next_call_is_not_attributed_to_that_call() {
+    run_with_unsolicited_data("attribution-meanwhile", UnsolicitedData::Copy, 15..61);
 }
 
 #[test]
-fn a_copy_of_an_answer_that_comes_late_is_not_taken_for_another_calls() {
-    followed_by("attribution-late", Surplus::Copy, 100..1_001);
+fn a_late_copy_of_an_answer_is_not_attributed_to_another_call() {
+    run_with_unsolicited_data("attribution-late", UnsolicitedData::Copy, 100..1_001);
 }
 
 #[test]
-fn another_whole_answer_is_not_taken_for_another_calls() {
-    followed_by("attribution-another", Surplus::AnotherAnswer, 0..1_001);
+fn an_unsolicited_complete_answer_is_not_attributed_to_another_call() {
+    run_with_unsolicited_data("attribution-another", UnsolicitedData::AnotherAnswer, 0..1_001);
 }
 
 #[test]
-fn a_part_of_an_answer_is_not_taken_for_another_calls() {
-    followed_by("attribution-part", Surplus::Part, 0..1_001);
+fn a_truncated_copy_of_an_answer_is_not_attributed_to_another_call() {
+    run_with_unsolicited_data("attribution-part", UnsolicitedData::Truncated, 0..1_001);
 }
 
 #[test]
-fn a_second_acknowledgement_is_not_taken_for_the_next_reports() {
-    let plan = Plan { surplus: None, share: 0.0, late_ms: 0..1, fails: false };
-    let failing = Plan { fails: true, ..plan.clone() };
-    play("attribution-reports", 11, &[plan, failing], (0.1, 0.1));
+fn a_second_acknowledgement_is_not_attributed_to_the_next_report() {
+    let behavior = EndpointBehavior { unsolicited: None, fraction: 0.0, delay_ms: 0..1, fails: false };
+    let failing = EndpointBehavior { fails: true, ..behavior.clone() };
+    run("attribution-reports", 11, &[behavior, failing], (0.1, 0.1));
 }
--- a/tests/attribution/endpoints.rs
+++ b/tests/attribution/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints and a discovery agent that write more than they are asked for, and note what came.
+//! Endpoints and a discovery agent that send unsolicited data, and record the calls and reports that they receive.
 
 use std::collections::HashMap;
 use std::io::{ErrorKind, Write};
@@ -12,77 +12,78 @@
 
 use crate::stand::hear;
 
-/// Time between two looks at a connection while a call is served.
-const LOOK: Duration = Duration::from_millis(1);
-/// Time that an endpoint takes to serve a call, in milliseconds.
-const WORK_MS: Range<u64> = 2..70;
-/// Share of calls that are turned away.
-const TURNED_AWAY: f64 = 0.1;
+/// Interval between checks for a closed connection while a call is served.
+const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(1);
+/// Time to serve a call, in milliseconds.
+const SERVICE_TIME_MS: Range<u64> = 2..70;
+/// Fraction of calls that are refused.
+const REFUSED_FRACTION: f64 = 0.1;
 
-/// What an endpoint writes behind an answer, unasked.
+/// Unsolicited data that an endpoint sends after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Surplus {
+pub enum UnsolicitedData {
     /// The same answer again.
     Copy,
-    /// Another whole answer.
+    /// Another complete answer.
     AnotherAnswer,
     /// The first bytes of the same answer.
-    Part,
+    Truncated,
 }
 
-/// How often and how late something unasked follows.
+/// Behaviour of an endpoint.
 #[derive(Clone, Debug)]
-pub struct Plan {
-    /// What follows, if anything does.
-    pub surplus: Option<Surplus>,
-    /// Its share of answers.
-    pub share: f64,
-    /// How long after the answer it comes, in milliseconds.
-    pub late_ms: Range<u64>,
-    /// The endpoint answers 500 to everything.
+pub struct EndpointBehavior {
+    /// Unsolicited data sent after answers, if any.
+    pub unsolicited: Option<UnsolicitedData>,
+    /// Fraction of answers that unsolicited data follows.
+    pub fraction: f64,
+    /// Delay of the unsolicited data after the answer, in milliseconds.
+    pub delay_ms: Range<u64>,
+    /// The endpoint answers 500 to every call.
     pub fails: bool,
 }
 
 /// How a call ended, as its endpoint saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// It is still served.
+pub enum CallEnd {
+    /// The call is still being served.
     Open,
-    /// It took effect, and 200 was written then.
+    /// The call took effect, and 200 was written at this time.
     Delivered(Instant),
-    /// It was turned away.
-    TurnedAway,
-    /// It failed, or its connection ended before it was answered.
+    /// The call was refused.
+    Refused,
+    /// The call failed, or its connection ended before the answer.
     Unknown,
 }
 
-/// One call.
+/// A call received by an endpoint.
 #[derive(Debug)]
 pub struct Call {
-    /// How it ended.
-    pub end: End,
+    /// How the call ended.
+    pub end: CallEnd,
     connection: TcpStream,
 }
 
-/// What all endpoints saw.
+/// What all endpoints and the discovery agent observed.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct Observations {
     /// The calls of each message.
     pub calls: HashMap<String, Vec<Call>>,
-    /// Calls of a message while an earlier one was still out on an open connection.
+    /// Ids of messages called again while an earlier call was in flight on an open connection.
     pub overlapping: Vec<String>,
-    /// Calls of a message that came though an earlier one was not turned away.
+    /// Ids of messages called again although an earlier call was not refused.
     pub repeated: Vec<String>,
-    /// When each report came first.
+    /// When the first report of each message arrived.
     pub reports: HashMap<String, Instant>,
-    /// Number of connections that were made to endpoints.
+    /// Number of connections made to endpoints.
     pub connections: usize,
 }
 
-/// What the stand-ins share.
-pub type Shared = Arc<Mutex<Seen>>;
+/// Observations shared by all simulated endpoints and the agent.
+pub type SharedObservations = Arc<Mutex<Observations>>;
 
-fn open(stream: &TcpStream) -> bool {
+/// Returns whether the peer has not closed the connection.
+fn is_open(stream: &TcpStream) -> bool {
     let mut byte = [std::mem::MaybeUninit::uninit()];
     let _ = stream.set_nonblocking(true);
     let peeked = socket2::SockRef::from(stream).peek(&mut byte);
@@ -93,21 +94,22 @@
     }
 }
 
-fn note(seen: &Shared, id: &str, connection: &TcpStream) -> usize {
+/// Records a call; returns its index among the calls of its message.
+fn record_call(seen: &SharedObservations, id: &str, connection: &TcpStream) -> usize {
     let mut seen = seen.lock().expect("no panic");
     let seen = &mut *seen;
     let calls = seen.calls.entry(id.to_string()).or_default();
-    if calls.iter().any(|call| call.end == End::Open && open(&call.connection)) {
+    if calls.iter().any(|call| call.end == CallEnd::Open && is_open(&call.connection)) {
         seen.overlapping.push(id.into());
     }
-    if calls.iter().any(|call| call.end != End::TurnedAway) {
+    if calls.iter().any(|call| call.end != CallEnd::Refused) {
         seen.repeated.push(id.into());
     }
-    calls.push(Call { end: End::Open, connection: connection.try_clone().expect("a descriptor") });
+    calls.push(Call { end: CallEnd::Open, connection: connection.try_clone().expect("a descriptor") });
     calls.len() - 1
 }
 
-fn ended(seen: &Shared, id: &str, call: usize, end: End) {
+fn record_end(seen: &SharedObservations, id: &str, call: usize, end: CallEnd) {
     let mut seen = seen.lock().expect("no panic");
     if let Some(call) = seen.calls.get_mut(id).and_then(|calls| calls.get_mut(call)) {
         call.end = end;
@@ -120,74 +122,75 @@
 }
 
 /// Starts an endpoint; returns its address.
-pub fn endpoint(plan: Plan, seed: u64, seen: &Shared) -> String {
+pub fn endpoint(behavior: EndpointBehavior, seed: u64, seen: &SharedObservations) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a socket");
     let address = listener.local_addr().expect("an address").to_string();
     let seen = seen.clone();
     std::thread::spawn(move || {
         for (number, stream) in (0..).zip(listener.incoming().flatten()) {
             seen.lock().expect("no panic").connections += 1;
-            let (plan, seen, rng) = (plan.clone(), seen.clone(), SmallRng::seed_from_u64(seed ^ number));
-            std::thread::spawn(move || serve(stream, &plan, rng, &seen));
+            let (behavior, seen, rng) =
+                (behavior.clone(), seen.clone(), SmallRng::seed_from_u64(seed ^ number));
+            std::thread::spawn(move || serve(stream, &behavior, rng, &seen));
         }
     });
     address
 }
 
-fn serve(mut stream: TcpStream, plan: &Plan, mut rng: SmallRng, seen: &Shared) {
+fn serve(mut stream: TcpStream, behavior: &EndpointBehavior, mut rng: SmallRng, seen: &SharedObservations) {
     let _ = stream.set_nodelay(true);
-    // Answers and what follows them are written whole, one after the other.
+    // Answers and unsolicited data are each written completely, one after the other.
     let writer = Arc::new(Mutex::new(stream.try_clone().expect("a descriptor")));
     while let Some(request) = hear(&mut stream) {
         let id = request.header("X-Correlation-Id").unwrap_or_default().to_string();
-        let call = note(seen, &id, &stream);
-        let until = Instant::now() + Duration::from_millis(rng.random_range(WORK_MS));
+        let call = record_call(seen, &id, &stream);
+        let until = Instant::now() + Duration::from_millis(rng.random_range(SERVICE_TIME_MS));
         while Instant::now() < until {
-            if !open(&stream) {
-                return ended(seen, &id, call, End::Unknown);
+            if !is_open(&stream) {
+                return record_end(seen, &id, call, CallEnd::Unknown);
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(CLOSE_CHECK_INTERVAL);
         }
         let status = match () {
-            () if plan.fails => 500,
-            () if rng.random_bool(TURNED_AWAY) => 503,
+            () if behavior.fails => 500,
+            () if rng.random_bool(REFUSED_FRACTION) => 503,
             () => 200,
         };
         let mut stream = writer.lock().expect("no panic");
-        // Noted first, as the relay may act on the answer before the note.
-        ended(
+        // Recorded before the write, because the relay may act on the answer at once.
+        record_end(
             seen,
             &id,
             call,
             match status {
-                200 => End::Delivered(Instant::now()),
-                503 => End::TurnedAway,
-                _ => End::Unknown,
+                200 => CallEnd::Delivered(Instant::now()),
+                503 => CallEnd::Refused,
+                _ => CallEnd::Unknown,
             },
         );
         if stream.write_all(&answer(status)).is_err() {
             return;
         }
         drop(stream);
-        if let Some(surplus) = plan.surplus
-            && rng.random_bool(plan.share)
+        if let Some(unsolicited) = behavior.unsolicited
+            && rng.random_bool(behavior.fraction)
         {
-            let bytes = unasked(surplus, status, &mut rng);
-            let late = Duration::from_millis(rng.random_range(plan.late_ms.clone()));
+            let bytes = unsolicited_bytes(unsolicited, status, &mut rng);
+            let delay = Duration::from_millis(rng.random_range(behavior.delay_ms.clone()));
             let writer = writer.clone();
             std::thread::spawn(move || {
-                std::thread::sleep(late);
+                std::thread::sleep(delay);
                 let _ = writer.lock().expect("no panic").write_all(&bytes);
             });
         }
     }
 }
 
-fn unasked(surplus: Surplus, status: u16, rng: &mut SmallRng) -> Vec<u8> {
-    match surplus {
-        Surplus::Copy => answer(status),
-        Surplus::AnotherAnswer => answer([200, 503, 500][rng.random_range(0..3)]),
-        Surplus::Part => {
+fn unsolicited_bytes(unsolicited: UnsolicitedData, status: u16, rng: &mut SmallRng) -> Vec<u8> {
+    match unsolicited {
+        UnsolicitedData::Copy => answer(status),
+        UnsolicitedData::AnotherAnswer => answer([200, 503, 500][rng.random_range(0..3)]),
+        UnsolicitedData::Truncated => {
             let mut bytes = answer(status);
             bytes.truncate(rng.random_range(1..bytes.len()));
             bytes
@@ -195,9 +198,9 @@
     }
 }
 
-/// Starts a discovery agent that takes reports; returns its address. By these shares it reads a report and closes the
-/// connection with no answer, and answers twice.
-pub fn agent(unanswered: f64, twice: f64, seed: u64, seen: &Shared) -> String {
+/// Starts a discovery agent that accepts reports; returns its address. For the fraction `unanswered` of requests with
+/// reports it closes the connection without an answer, and of the others it answers the fraction `twice` two times.
+pub fn agent(unanswered: f64, twice: f64, seed: u64, seen: &SharedObservations) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a socket");
     let address = listener.local_addr().expect("an address").to_string();
     let seen = seen.clone();
@@ -209,7 +212,7 @@
                     let answer = match request.head.starts_with("POST /reports ") {
                         true if rng.random_bool(unanswered) => return,
                         true => {
-                            take_reports(&seen, &request.body);
+                            record_reports(&seen, &request.body);
                             let answer = "HTTP/1.1 204 No Content\r\n\r\n";
                             answer.repeat(1 + usize::from(rng.random_bool(twice)))
                         }
@@ -229,7 +232,7 @@
     address
 }
 
-fn take_reports(seen: &Shared, body: &[u8]) {
+fn record_reports(seen: &SharedObservations, body: &[u8]) {
     let now = Instant::now();
     for line in String::from_utf8_lossy(body).lines() {
         let report: serde_json::Value = serde_json::from_str(line).expect("a report");
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,5 +1,6 @@
-//! What happens if a told wait, a drain, a close or an end comes between a decision and its bytes: each crossing forced
-//! over loopback sockets, by who writes what when. Nothing sleeps; every wait ends at one far deadline.
+//! Race conditions between the decision to send and the bytes on the wire: a server-requested wait, a drain, a close or a
+//! stop that arrives in between. Each race is forced over loopback sockets by the order of writes. Every wait has one
+//! common, distant deadline.
 
 mod stand;
 
@@ -29,13 +30,15 @@
 use verdict::reuse::{MIN_QUIET_US, MIN_REST_US};
 
 const S: Micros = 1_000_000;
-const LANE: usize = 3;
+const PATH: usize = 3;
 
-async fn soon<T>(what: impl Future<Output = T>) -> T {
-    tokio::time::timeout(FAR, what).await.expect("within the far deadline")
+/// Awaits a future, with the distant deadline.
+async fn within_deadline<T>(future: impl Future<Output = T>) -> T {
+    tokio::time::timeout(FAR, future).await.expect("within the deadline")
 }
 
-/// An endpoint whose connections come up only once those before them were accepted: its queue holds one.
+/// An endpoint with a listen queue of one connection: a further connection is established only after the one before it was
+/// accepted.
 struct Endpoint {
     listener: TcpListener,
     address: SocketAddr,
@@ -47,42 +50,42 @@
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("an address");
         socket.listen(0).expect("listening");
-        socket.set_nonblocking(true).expect("for the event loop");
+        socket.set_nonblocking(true).expect("a non-blocking socket");
         let listener = TcpListener::from_std(socket.into()).expect("a listener");
         let address = listener.local_addr().expect("an address");
         Endpoint { listener, address }
     }
 
     async fn accept(&self) -> TcpStream {
-        soon(self.listener.accept()).await.expect("a connection").0
+        within_deadline(self.listener.accept()).await.expect("a connection").0
     }
 
-    /// From now on no connection comes up, until this one is accepted.
-    async fn plug(&self) -> TcpStream {
-        soon(TcpStream::connect(self.address)).await.expect("the one place")
+    /// Fills the listen queue: no other connection is established until this one is accepted.
+    async fn fill_queue(&self) -> TcpStream {
+        within_deadline(TcpStream::connect(self.address)).await.expect("the one place in the queue")
     }
 }
 
-/// The side of the relay that makes calls.
-struct Side {
+/// The part of the relay that makes calls.
+struct CallSide {
     clock: Clock,
     connections: Connections,
     outbound: Outbound,
     inputs: mpsc::Receiver<Input>,
 }
 
-impl Side {
+impl CallSide {
     fn new() -> Self {
-        Side::with_idle(60 * S)
+        CallSide::with_idle_limit(60 * S)
     }
 
-    /// Connections rest for so long at the most, less a tenth.
-    fn with_idle(limit: Micros) -> Self {
+    /// Closes idle connections after this time in microseconds, less a tenth.
+    fn with_idle_limit(limit: Micros) -> Self {
         let clock = Clock::start();
         let (to, inputs) = mpsc::channel(16);
         let connections = Connections::new(clock, 20 * S, limit, 8);
         let outbound = Outbound::new(clock, to, connections.clone(), None);
-        Side { clock, connections, outbound, inputs }
+        CallSide { clock, connections, outbound, inputs }
     }
 
     fn call(&self, id: &str, endpoint: &Endpoint) -> OutboundCall {
@@ -97,135 +100,149 @@
             attempt: 0,
             target: TargetId(7),
             address,
-            path: LANE,
+            path: PATH,
             effect: Effect::Unsafe,
             start_by,
             deadline,
         }
     }
 
-    async fn end(&mut self) -> CallEnd {
-        match soon(self.inputs.recv()).await {
+    async fn next_end(&mut self) -> CallEnd {
+        match within_deadline(self.inputs.recv()).await {
             Some(Input::CallEnded(end)) => end,
             _ => panic!("expected the end of a call"),
         }
     }
 
-    /// A first call is answered well; its connection, on which the relay rests then.
-    async fn served(&mut self, endpoint: &Endpoint) -> TcpStream {
+    /// Serves a first call successfully; returns its connection, which is then idle.
+    async fn serve_first_call(&mut self, endpoint: &Endpoint) -> TcpStream {
         let _handle = self.outbound.call(self.call("first", endpoint));
         let mut connection = endpoint.accept().await;
-        request(&mut connection).await;
+        read_request(&mut connection).await;
         connection.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.expect("written");
-        assert_eq!(self.end().await.outcome, Outcome::Ok);
+        assert_eq!(self.next_end().await.outcome, Outcome::Ok);
         connection
     }
 
-    /// Nothing of a call went out on this connection, which the relay then closes.
-    async fn unused(&self, mut connection: TcpStream) {
+    /// Asserts that nothing was sent on this connection, after making the relay close it.
+    async fn assert_unused(&self, mut connection: TcpStream) {
         self.connections.close(TargetId(7));
         let mut bytes = Vec::new();
-        soon(connection.read_to_end(&mut bytes)).await.expect("a good end");
-        assert_eq!(String::from_utf8_lossy(&bytes), "", "nothing went out");
+        within_deadline(connection.read_to_end(&mut bytes)).await.expect("the end of the connection");
+        assert_eq!(String::from_utf8_lossy(&bytes), "", "nothing was sent");
     }
 
-    /// A call whose connection comes up only once `crossing` is over.
-    async fn crossed(&mut self, change: impl FnOnce(&mut OutboundCall), crossing: impl AsyncFnOnce(&Side)) {
+    /// Makes a call whose connection is established only after `event`, and asserts that the call is not sent.
+    async fn assert_held_by(
+        &mut self, change: impl FnOnce(&mut OutboundCall), event: impl AsyncFnOnce(&CallSide),
+    ) {
         let endpoint = Endpoint::new();
-        let _plug = endpoint.plug().await;
+        let _queued = endpoint.fill_queue().await;
         let mut call = self.call("crossed", &endpoint);
         change(&mut call);
         let _handle = self.outbound.call(call);
-        crossing(self).await;
+        event(self).await;
         endpoint.accept().await;
         let connection = endpoint.accept().await;
-        assert_eq!(self.end().await.outcome, Outcome::Skipped, "it was not sent");
-        self.unused(connection).await;
+        assert_eq!(self.next_end().await.outcome, Outcome::Skipped, "it was not sent");
+        self.assert_unused(connection).await;
     }
 }
 
 /// Reads one request.
-async fn request(connection: &mut TcpStream) -> String {
+async fn read_request(connection: &mut TcpStream) -> String {
     let mut text = Vec::new();
     while !text.ends_with(b"\r\n\r\nbody") {
-        let read = soon(connection.read_buf(&mut text)).await.expect("more of the request");
-        assert!(read > 0, "a whole request, not {:?}", String::from_utf8_lossy(&text));
+        let read = within_deadline(connection.read_buf(&mut text)).await.expect("more of the request");
+        assert!(read > 0, "a complete request, not {:?}", String::from_utf8_lossy(&text));
     }
     String::from_utf8(text).expect("text")
 }
 
 #[tokio::test]
-async fn a_wait_told_to_one_call_holds_another_whose_connection_comes_up_later() {
-    let (mut side, endpoint) = (Side::new(), Endpoint::new());
-    let _first = side.outbound.call(side.call("told", &endpoint));
+async fn a_wait_requested_on_one_call_holds_another_that_is_still_connecting() {
+    let (mut call_side, endpoint) = (CallSide::new(), Endpoint::new());
+    let _first = call_side.outbound.call(call_side.call("told", &endpoint));
     let mut first = endpoint.accept().await;
-    request(&mut first).await;
-    let _plug = endpoint.plug().await;
-    let _second = side.outbound.call(side.call("late", &endpoint));
-    let told = b"HTTP/1.1 429 Wait\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n";
-    first.write_all(told).await.expect("written");
-    assert_eq!(side.end().await.outcome, Outcome::Full(Some(30 * S)));
+    read_request(&mut first).await;
+    let _queued = endpoint.fill_queue().await;
+    let _second = call_side.outbound.call(call_side.call("late", &endpoint));
+    let refusal = b"HTTP/1.1 429 Wait\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n";
+    first.write_all(refusal).await.expect("written");
+    assert_eq!(call_side.next_end().await.outcome, Outcome::Full(Some(30 * S)));
     endpoint.accept().await;
     let second = endpoint.accept().await;
-    assert_eq!(side.end().await.outcome, Outcome::Skipped);
-    side.unused(second).await;
+    assert_eq!(call_side.next_end().await.outcome, Outcome::Skipped);
+    call_side.assert_unused(second).await;
 }
 
 #[tokio::test]
-async fn a_wait_told_to_the_destination_elsewhere_holds_a_call_that_is_connecting_and_no_other() {
-    let mut side = Side::new();
-    let wait = async |side: &Side| side.connections.clearance().wait(LANE, side.clock.now() + 30 * S);
-    side.crossed(|_| {}, wait).await;
-    // What does not share the wait goes.
+async fn a_wait_of_a_send_path_holds_a_connecting_call_of_that_path_only() {
+    let mut call_side = CallSide::new();
+    let wait = async |call_side: &CallSide| {
+        call_side.connections.clearance().wait(PATH, call_side.clock.now() + 30 * S)
+    };
+    call_side.assert_held_by(|_| {}, wait).await;
+    // A call on another path is sent.
     let endpoint = Endpoint::new();
-    let call = OutboundCall { path: LANE + 1, ..side.call("other", &endpoint) };
-    let _handle = side.outbound.call(call);
-    request(&mut endpoint.accept().await).await;
+    let call = OutboundCall { path: PATH + 1, ..call_side.call("other", &endpoint) };
+    let _handle = call_side.outbound.call(call);
+    read_request(&mut endpoint.accept().await).await;
 }
 
 #[tokio::test]
-async fn a_shorter_wait_told_later_does_not_end_a_longer_one() {
-    let mut side = Side::new();
-    let waits = async |side: &Side| {
-        side.connections.clearance().wait(LANE, side.clock.now() + 30 * S);
-        side.connections.clearance().wait(LANE, side.clock.now() + 1);
+async fn a_later_shorter_wait_does_not_end_a_longer_one() {
+    let mut call_side = CallSide::new();
+    let waits = async |call_side: &CallSide| {
+        call_side.connections.clearance().wait(PATH, call_side.clock.now() + 30 * S);
+        call_side.connections.clearance().wait(PATH, call_side.clock.now() + 1);
     };
-    side.crossed(|_| {}, waits).await;
+    call_side.assert_held_by(|_| {}, waits).await;
 }
 
 #[tokio::test]
-async fn a_drain_holds_a_call_that_is_connecting_and_a_return_lets_the_next_go() {
-    let mut side = Side::new();
-    side.crossed(|_| {}, async |side| side.connections.clearance().listed(TargetId(7), false)).await;
-    side.connections.clearance().listed(TargetId(7), true);
+async fn a_drain_holds_a_connecting_call_until_the_endpoint_returns() {
+    let mut call_side = CallSide::new();
+    call_side
+        .assert_held_by(
+            |_| {},
+            async |call_side| call_side.connections.clearance().listed(TargetId(7), false),
+        )
+        .await;
+    call_side.connections.clearance().listed(TargetId(7), true);
     let endpoint = Endpoint::new();
-    let _handle = side.outbound.call(side.call("again", &endpoint));
-    request(&mut endpoint.accept().await).await;
+    let _handle = call_side.outbound.call(call_side.call("again", &endpoint));
+    read_request(&mut endpoint.accept().await).await;
 }
 
 #[tokio::test]
-async fn a_connection_on_which_nothing_went_carries_the_next_call() {
-    let (mut side, endpoint) = (Side::new(), Endpoint::new());
-    let _plug = endpoint.plug().await;
-    let _held = side.outbound.call(side.call("held", &endpoint));
-    side.connections.clearance().listed(TargetId(7), false);
+async fn an_unused_connection_carries_the_next_call() {
+    let (mut call_side, endpoint) = (CallSide::new(), Endpoint::new());
+    let _queued = endpoint.fill_queue().await;
+    let _held = call_side.outbound.call(call_side.call("held", &endpoint));
+    call_side.connections.clearance().listed(TargetId(7), false);
     endpoint.accept().await;
     let mut connection = endpoint.accept().await;
-    assert_eq!(side.end().await.outcome, Outcome::Skipped);
-    side.connections.clearance().listed(TargetId(7), true);
-    let _next = side.outbound.call(side.call("next", &endpoint));
-    assert!(request(&mut connection).await.contains("X-Correlation-Id: next"));
+    assert_eq!(call_side.next_end().await.outcome, Outcome::Skipped);
+    call_side.connections.clearance().listed(TargetId(7), true);
+    let _next = call_side.outbound.call(call_side.call("next", &endpoint));
+    assert!(read_request(&mut connection).await.contains("X-Correlation-Id: next"));
 }
 
 #[tokio::test]
-async fn a_stop_holds_a_call_that_is_connecting() {
-    let mut side = Side::new();
-    side.crossed(|_| {}, async |side| side.connections.clearance().stop(side.clock.now())).await;
+async fn a_stop_holds_a_connecting_call() {
+    let mut call_side = CallSide::new();
+    call_side
+        .assert_held_by(
+            |_| {},
+            async |call_side| call_side.connections.clearance().stop(call_side.clock.now()),
+        )
+        .await;
 }
 
 #[tokio::test]
-async fn the_runtime_tells_of_a_stop_before_its_last_start_comes() {
-    let (mut side, endpoint, folder) = (Side::new(), Endpoint::new(), stand::folder("stop"));
+async fn the_runtime_announces_a_stop_before_the_last_start_time() {
+    let (mut call_side, endpoint, folder) = (CallSide::new(), Endpoint::new(), stand::folder("stop"));
     let (file, state) = (folder.join("config.json"), folder.join("state"));
     let text = stand::site::configuration(&[endpoint.address.to_string()]).to_string();
     std::fs::write(&file, text).expect("a file");
@@ -237,144 +254,155 @@
     let config = Config::load(variable).expect("a configuration");
     let (journal, _) = Journal::open(&config.state, config.journal_room()).expect("a journal");
     let (replay, (notices, _owed)) = (journal.replay(), mpsc::unbounded_channel());
-    let module = Relay::new(config.settings.clone(), 1).expect("sound");
-    let (settings, caller) = (config.settings.clone(), Box::new(side.outbound.clone()));
+    let module = Relay::new(config.settings.clone(), 1).expect("valid settings");
+    let (settings, caller) = (config.settings.clone(), Box::new(call_side.outbound.clone()));
     let relay = (module, settings);
     let mut runtime =
-        Runtime::new(side.clock, relay, config.names.clone(), (8, 1 << 20), journal, caller, notices);
+        Runtime::new(call_side.clock, relay, config.names.clone(), (8, 1 << 20), journal, caller, notices);
     let known = config.known.map(|known| known.members).unwrap_or_default();
     runtime.resume(known, vec![], replay).expect("stored");
-    let call = side.call("late", &endpoint);
-    assert!(side.connections.clearance().allows(&call));
+    let call = call_side.call("late", &endpoint);
+    assert!(call_side.connections.clearance().allows(&call));
     let (inputs, received) = mpsc::channel(4);
-    inputs.send(Input::Stop(side.clock.now() + 1)).await.expect("heard");
-    soon(runtime.run(received)).await.expect("a good end");
-    assert!(!side.connections.clearance().allows(&call), "nothing starts in a process that ends");
-    let _handle = side.outbound.call(call);
+    inputs.send(Input::Stop(call_side.clock.now() + 1)).await.expect("an open channel");
+    within_deadline(runtime.run(received)).await.expect("a stop without an error");
+    assert!(!call_side.connections.clearance().allows(&call), "no call starts in a process that is stopping");
+    let _handle = call_side.outbound.call(call);
     let connection = endpoint.accept().await;
-    assert_eq!(side.end().await.outcome, Outcome::Skipped);
-    side.unused(connection).await;
+    assert_eq!(call_side.next_end().await.outcome, Outcome::Skipped);
+    call_side.assert_unused(connection).await;
 }
 
 #[tokio::test]
-async fn a_call_whose_last_moment_to_start_passes_while_it_connects_is_not_sent() {
-    let mut side = Side::new();
-    // The window for repeats is over, say, while the answer would still be waited for.
-    side.crossed(|call| call.start_by -= 20 * S - 1, async |_| ()).await;
+async fn a_call_whose_latest_start_passes_while_it_connects_is_not_sent() {
+    let mut call_side = CallSide::new();
+    // For example, the deduplication window has ended, while an answer would still be awaited.
+    call_side.assert_held_by(|call| call.start_by -= 20 * S - 1, async |_| ()).await;
 }
 
 #[tokio::test]
-async fn a_request_of_which_a_part_has_gone_is_broken_off_before_its_last_byte_once_a_wait_is_told() {
-    let (mut side, endpoint) = (Side::new(), Endpoint::new());
-    let mut call = side.call("long", &endpoint);
-    // More than the system takes for a reader that does not read.
+async fn a_partially_sent_request_is_aborted_before_its_last_byte_if_a_wait_is_requested() {
+    let (mut call_side, endpoint) = (CallSide::new(), Endpoint::new());
+    let mut call = call_side.call("long", &endpoint);
+    // More than the socket buffers hold for a peer that does not read.
     let body = Bytes::from(vec![b'x'; 64 << 20]);
     call.exchange = Arc::new(Exchange { body, ..Exchange::clone(&call.exchange) });
-    let _handle = side.outbound.call(call);
+    let _handle = call_side.outbound.call(call);
     let mut connection = endpoint.accept().await;
     let mut bytes = vec![0];
-    soon(connection.read_exact(&mut bytes)).await.expect("its first byte");
-    side.connections.clearance().wait(LANE, side.clock.now() + 30 * S);
-    assert_eq!(side.end().await.outcome, Outcome::Skipped);
+    within_deadline(connection.read_exact(&mut bytes)).await.expect("its first byte");
+    call_side.connections.clearance().wait(PATH, call_side.clock.now() + 30 * S);
+    assert_eq!(call_side.next_end().await.outcome, Outcome::Skipped);
     let mut rest = Vec::new();
-    let _ = soon(connection.read_to_end(&mut rest)).await;
-    assert!(rest.len() < 64 << 20, "the last byte did not go");
+    let _ = within_deadline(connection.read_to_end(&mut rest)).await;
+    assert!(rest.len() < 64 << 20, "the last byte was not sent");
 }
 
 #[tokio::test]
-async fn a_wait_in_the_head_of_an_answer_that_breaks_off_binds() {
-    let (mut side, endpoint) = (Side::new(), Endpoint::new());
-    let _first = side.outbound.call(side.call("told", &endpoint));
+async fn a_wait_in_the_head_of_a_truncated_answer_is_obeyed() {
+    let (mut call_side, endpoint) = (CallSide::new(), Endpoint::new());
+    let _first = call_side.outbound.call(call_side.call("told", &endpoint));
     let mut first = endpoint.accept().await;
-    request(&mut first).await;
+    read_request(&mut first).await;
     let cut = b"HTTP/1.1 429 Wait\r\nRetry-After: 30\r\nContent-Length: 9\r\n\r\nhalf";
     first.write_all(cut).await.expect("written");
     drop(first);
-    let end = side.end().await;
+    let end = call_side.next_end().await;
     assert_eq!((end.outcome, end.report.wait), (Outcome::Spoilt, Some(30 * S)));
-    let _second = side.outbound.call(side.call("second", &endpoint));
-    assert_eq!(side.end().await.outcome, Outcome::Skipped);
+    let _second = call_side.outbound.call(call_side.call("second", &endpoint));
+    assert_eq!(call_side.next_end().await.outcome, Outcome::Skipped);
 }
 
 #[tokio::test]
-async fn a_refusal_whose_head_never_ends_is_bounded_long_before_the_deadline() {
-    let (mut side, endpoint) = (Side::new(), Endpoint::new());
+async fn a_refusal_with_an_endless_head_times_out_long_before_the_deadline() {
+    let (mut call_side, endpoint) = (CallSide::new(), Endpoint::new());
     for first_line in ["HTTP/1.1 503 Full\r\n", "HTTP/1.1 429 Wait\r\nRetry-After: 3"] {
-        let _handle = side.outbound.call(side.call("endless", &endpoint));
+        let _handle = call_side.outbound.call(call_side.call("endless", &endpoint));
         let mut connection = endpoint.accept().await;
-        request(&mut connection).await;
+        read_request(&mut connection).await;
         connection.write_all(first_line.as_bytes()).await.expect("written");
-        let (began, end) = (side.clock.now(), side.end().await);
-        assert_eq!((end.outcome, end.report.wait), (Outcome::Spoilt, None), "half a line tells no wait");
-        let took = side.clock.now() - began;
-        assert!(took >= 4 * S / 10, "a wait that comes in pieces is heard, not cut off after {took} us");
-        assert!(took < 10 * S, "its deadline is 20 s away");
+        let (began, end) = (call_side.clock.now(), call_side.next_end().await);
+        assert_eq!(
+            (end.outcome, end.report.wait),
+            (Outcome::Spoilt, None),
+            "a partial header line gives no wait"
+        );
+        let took = call_side.clock.now() - began;
+        assert!(
+            took >= 4 * S / 10,
+            "a wait that arrives in pieces must be read, but the call ended after {took} us"
+        );
+        assert!(took < 10 * S, "the call must end long before its deadline of 20 s");
     }
 }
 
 #[tokio::test]
-async fn a_connection_that_stayed_unused_is_as_old_as_before() {
-    let (mut side, endpoint) = (Side::with_idle(S / 5), Endpoint::new());
-    let connection = side.served(&endpoint).await;
-    side.connections.clearance().wait(LANE, side.clock.now() + 30 * S);
-    // Calls that are held again and again must not keep it young: the endpoint closes it by its own clock.
-    let began = side.clock.now();
-    while side.clock.now() < began + S {
-        let _held = side.outbound.call(side.call("held", &endpoint));
-        if side.end().await.outcome != Outcome::Skipped {
+async fn held_calls_do_not_extend_the_idle_time_of_a_connection() {
+    let (mut call_side, endpoint) = (CallSide::with_idle_limit(S / 5), Endpoint::new());
+    let connection = call_side.serve_first_call(&endpoint).await;
+    call_side.connections.clearance().wait(PATH, call_side.clock.now() + 30 * S);
+    // Calls that are held repeatedly must not reset the idle time, because the endpoint closes idle connections by its own
+    // clock.
+    let began = call_side.clock.now();
+    while call_side.clock.now() < began + S {
+        let _held = call_side.outbound.call(call_side.call("held", &endpoint));
+        if call_side.next_end().await.outcome != Outcome::Skipped {
             break;
         }
-        side.connections.retire();
+        call_side.connections.retire();
         let mut byte = [0];
         if matches!(connection.try_read(&mut byte), Ok(0)) {
             return;
         }
     }
-    panic!("the connection outlived its idle life");
+    panic!("the connection outlived its idle limit");
 }
 
 #[tokio::test]
-async fn half_a_line_or_a_close_on_a_resting_connection_is_no_answer_to_the_next_call() {
-    for rude in [&b"HTTP/1.1 200 O"[..], b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", b""] {
-        let (mut side, endpoint) = (Side::new(), Endpoint::new());
-        let mut first = side.served(&endpoint).await;
-        first.write_all(rude).await.expect("written");
-        if rude.is_empty() {
+async fn data_or_a_close_on_an_idle_connection_is_no_answer_to_the_next_call() {
+    for unsolicited in [&b"HTTP/1.1 200 O"[..], b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", b""] {
+        let (mut call_side, endpoint) = (CallSide::new(), Endpoint::new());
+        let mut first = call_side.serve_first_call(&endpoint).await;
+        first.write_all(unsolicited).await.expect("written");
+        if unsolicited.is_empty() {
             first.shutdown().await.expect("ended");
         }
-        let _second = side.outbound.call(side.call("second", &endpoint));
+        let _second = call_side.outbound.call(call_side.call("second", &endpoint));
         let mut second = endpoint.accept().await;
-        assert!(request(&mut second).await.contains("X-Correlation-Id: second"));
+        assert!(read_request(&mut second).await.contains("X-Correlation-Id: second"));
         second.write_all(b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n").await.expect("written");
-        assert_eq!(side.end().await.outcome, Outcome::Full(None));
+        assert_eq!(call_side.next_end().await.outcome, Outcome::Full(None));
     }
 }
 
-/// A second call on the connection of a first one, as far as the endpoint has read it.
-async fn second_call(side: &mut Side, endpoint: &Endpoint) -> (TcpStream, oneshot::Sender<()>) {
-    let mut connection = side.served(endpoint).await;
+/// Makes a second call on the connection of a first one; returns after the endpoint has read the request.
+async fn second_call(call_side: &mut CallSide, endpoint: &Endpoint) -> (TcpStream, oneshot::Sender<()>) {
+    let mut connection = call_side.serve_first_call(endpoint).await;
     tokio::time::sleep(Duration::from_micros(2 * MIN_REST_US as u64)).await;
-    let handle = side.outbound.call(side.call("second", endpoint));
-    assert!(request(&mut connection).await.contains("X-Correlation-Id: second"), "on the same connection");
+    let handle = call_side.outbound.call(call_side.call("second", endpoint));
+    assert!(
+        read_request(&mut connection).await.contains("X-Correlation-Id: second"),
+        "on the same connection"
+    );
     (connection, handle)
 }
 
-/// What was told of an attempt, in the order in which it has to be told.
-struct Told {
-    /// What its message may have ended by.
-    heard: Option<Decision>,
-    /// What the endpoint answered, while that was still to settle.
+/// The inputs that the runtime received for an attempt, in the required order.
+struct AttemptInputs {
+    /// Provisional decision on the message.
+    decision: Option<Decision>,
+    /// Outcome of the provisional answer, before it settled.
     answered: Option<Outcome>,
     end: CallEnd,
 }
 
-async fn told(side: &mut Side) -> Told {
-    let (mut heard, mut answered) = (None, None);
+async fn attempt_inputs(call_side: &mut CallSide) -> AttemptInputs {
+    let (mut decision, mut answered) = (None, None);
     loop {
-        match soon(side.inputs.recv()).await {
-            Some(Input::ProvisionalDecision(told)) if answered.is_none() => heard = Some(told.decision),
+        match within_deadline(call_side.inputs.recv()).await {
+            Some(Input::ProvisionalDecision(input)) if answered.is_none() => decision = Some(input.decision),
             Some(Input::ProvisionalAnswer(answer)) => answered = Some(answer.outcome),
-            Some(Input::CallEnded(end)) => return Told { heard, answered, end },
+            Some(Input::CallEnded(end)) => return AttemptInputs { decision, answered, end },
             _ => panic!("expected the end of a call"),
         }
     }
@@ -384,68 +412,68 @@
 const FULL: &[u8] = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n";
 
 #[tokio::test]
-async fn an_answer_on_a_used_connection_counts_once_nothing_follows_it() {
+async fn an_answer_on_a_reused_connection_counts_once_the_connection_stays_quiet() {
     for (bytes, expected) in [(DELIVERED, Outcome::Ok), (FULL, Outcome::Full(None))] {
-        let (mut side, endpoint) = (Side::new(), Endpoint::new());
-        let (mut connection, _handle) = second_call(&mut side, &endpoint).await;
-        let began = side.clock.now();
+        let (mut call_side, endpoint) = (CallSide::new(), Endpoint::new());
+        let (mut connection, _handle) = second_call(&mut call_side, &endpoint).await;
+        let began = call_side.clock.now();
         connection.write_all(bytes).await.expect("written");
-        let told = told(&mut side).await;
-        assert_eq!((told.answered, told.end.outcome), (Some(expected), expected));
-        assert_eq!(told.heard, (expected == Outcome::Ok).then_some(Decision::Delivered));
-        assert_eq!(told.end.decision, expected.verdict());
-        assert!(side.clock.now() - began >= MIN_QUIET_US, "it was watched");
+        let inputs = attempt_inputs(&mut call_side).await;
+        assert_eq!((inputs.answered, inputs.end.outcome), (Some(expected), expected));
+        assert_eq!(inputs.decision, (expected == Outcome::Ok).then_some(Decision::Delivered));
+        assert_eq!(inputs.end.decision, expected.verdict());
+        assert!(call_side.clock.now() - began >= MIN_QUIET_US, "the connection was watched");
     }
 }
 
 #[tokio::test]
-async fn an_answer_that_is_followed_by_another_one_may_be_a_copy_and_proves_nothing() {
+async fn an_answer_on_a_reused_connection_followed_by_another_proves_nothing() {
     for (first, then) in [(DELIVERED, FULL), (FULL, DELIVERED), (DELIVERED, DELIVERED), (FULL, b"HT")] {
-        let (mut side, endpoint) = (Side::new(), Endpoint::new());
-        let (mut connection, _handle) = second_call(&mut side, &endpoint).await;
+        let (mut call_side, endpoint) = (CallSide::new(), Endpoint::new());
+        let (mut connection, _handle) = second_call(&mut call_side, &endpoint).await;
         connection.write_all(first).await.expect("written");
         tokio::time::sleep(Duration::from_micros(MIN_QUIET_US as u64 / 5)).await;
         connection.write_all(then).await.expect("written");
-        let end = told(&mut side).await.end;
+        let end = attempt_inputs(&mut call_side).await.end;
         assert_eq!((end.outcome, end.decision), (Outcome::Spoilt, Decision::MayHaveEnded));
     }
 }
 
 #[tokio::test]
-async fn an_endpoint_that_wrote_unasked_gets_a_new_connection_for_each_call() {
-    let (mut side, endpoint) = (Side::new(), Endpoint::new());
-    let mut first = side.served(&endpoint).await;
+async fn an_endpoint_that_sent_unsolicited_data_gets_a_new_connection_for_each_call() {
+    let (mut call_side, endpoint) = (CallSide::new(), Endpoint::new());
+    let mut first = call_side.serve_first_call(&endpoint).await;
     first.write_all(DELIVERED).await.expect("written");
     let mut rest = Vec::new();
-    let _ = soon(first.read_to_end(&mut rest)).await;
-    let second = side.served(&endpoint).await;
+    let _ = within_deadline(first.read_to_end(&mut rest)).await;
+    let second = call_side.serve_first_call(&endpoint).await;
     tokio::time::sleep(Duration::from_micros(2 * MIN_REST_US as u64)).await;
-    side.served(&endpoint).await;
+    call_side.serve_first_call(&endpoint).await;
     drop(second);
 }
 
 #[tokio::test]
-async fn a_reset_after_the_last_byte_may_have_run_and_is_never_sent_again_by_itself() {
-    let (mut side, endpoint) = (Side::new(), Endpoint::new());
-    let _handle = side.outbound.call(side.call("reset", &endpoint));
+async fn a_call_reset_after_its_last_byte_may_have_run() {
+    let (mut call_side, endpoint) = (CallSide::new(), Endpoint::new());
+    let _handle = call_side.outbound.call(call_side.call("reset", &endpoint));
     let mut connection = endpoint.accept().await;
-    request(&mut connection).await;
+    read_request(&mut connection).await;
     let linger = socket2::SockRef::from(&connection).set_linger(Some(Duration::ZERO));
     linger.expect("a close that resets");
     drop(connection);
-    let end = side.end().await;
+    let end = call_side.next_end().await;
     assert_eq!(end.outcome, Outcome::Reset);
     assert!(end.outcome.may_have_run());
 }
 
-/// The client's side of a relay whose runtime is played by the test.
-struct Door {
+/// The client side of a relay; the test takes the place of the runtime.
+struct ClientSide {
     inbound: Arc<Inbound>,
     address: SocketAddr,
     inputs: mpsc::Receiver<Input>,
 }
 
-impl Door {
+impl ClientSide {
     async fn open() -> Self {
         let (clock, (to, inputs)) = (Clock::start(), mpsc::channel(16));
         let names = Vocabulary { classes: vec!["any".into()], ..Vocabulary::default() };
@@ -456,16 +484,16 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
         let address = listener.local_addr().expect("an address");
         tokio::spawn(serve(listener, inbound.clone(), Arc::new(8.into())));
-        Door { inbound, address, inputs }
+        ClientSide { inbound, address, inputs }
     }
 
     async fn connect(&self) -> TcpStream {
-        soon(TcpStream::connect(self.address)).await.expect("a connection")
+        within_deadline(TcpStream::connect(self.address)).await.expect("a connection")
     }
 
-    /// Comes once the door has begun to read a request.
-    async fn reads(&self) {
-        soon(async {
+    /// Waits until the front has begun to read a request.
+    async fn wait_for_read(&self) {
+        within_deadline(async {
             while self.inbound.reading.load(Ordering::Relaxed) == 0 {
                 tokio::task::yield_now().await;
             }
@@ -473,93 +501,95 @@
         .await;
     }
 
-    /// The next message that reaches the runtime.
-    async fn handed(&mut self) -> oneshot::Sender<Answer> {
-        match soon(self.inputs.recv()).await {
+    /// Waits for the next message; returns the channel for its answer.
+    async fn next_message(&mut self) -> oneshot::Sender<Answer> {
+        match within_deadline(self.inputs.recv()).await {
             Some(Input::Submitted(_, _, reply)) => reply,
             _ => panic!("expected a message"),
         }
     }
 }
 
-const HANDED_IN: &str = "POST /any HTTP/1.1\r\nX-Correlation-Id: m-1\r\nX-Time-Left: 900m\r\nX-Addressing: dest=1\r\n\
+const SUBMIT_REQUEST: &str = "POST /any HTTP/1.1\r\nX-Correlation-Id: m-1\r\nX-Time-Left: 900m\r\nX-Addressing: dest=1\r\n\
     Content-Length: 4\r\n\r\nbody";
 
-/// All that comes until the connection ends.
-async fn rest(stream: &mut TcpStream) -> String {
+/// Reads until the connection ends.
+async fn read_to_end(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
-    soon(stream.read_to_end(&mut bytes)).await.expect("a good end, no reset");
+    within_deadline(stream.read_to_end(&mut bytes)).await.expect("an end without a reset");
     String::from_utf8(bytes).expect("text")
 }
 
 #[tokio::test]
-async fn a_request_of_which_half_came_before_the_runtimes_end_is_answered_whole() {
-    let mut door = Door::open().await;
-    let mut stream = door.connect().await;
-    let (first, second) = HANDED_IN.split_at(40);
+async fn a_request_half_received_before_the_runtime_ends_is_answered() {
+    let mut front = ClientSide::open().await;
+    let mut stream = front.connect().await;
+    let (first, second) = SUBMIT_REQUEST.split_at(40);
     stream.write_all(first.as_bytes()).await.expect("written");
-    door.reads().await;
-    // The runtime ends, and the process waits for its answers before it does.
-    door.inbound.standing.enter(Phase::Stopping);
-    door.inputs.close();
-    let inbound = door.inbound.clone();
+    front.wait_for_read().await;
+    // The runtime ends; the process waits for outstanding answers before it exits.
+    front.inbound.standing.enter(Phase::Stopping);
+    front.inputs.close();
+    let inbound = front.inbound.clone();
     let answered = tokio::spawn(async move { inbound.answered(inbound.clock.now() + 20 * S).await });
     tokio::task::yield_now().await;
-    assert!(!answered.is_finished(), "half a request is waited for");
+    assert!(!answered.is_finished(), "the rest of the request is awaited");
     stream.write_all(second.as_bytes()).await.expect("written");
-    let answer = rest(&mut stream).await;
+    let answer = read_to_end(&mut stream).await;
     assert!(answer.starts_with("HTTP/1.1 503 ") && answer.contains("Connection: close"), "{answer}");
-    soon(answered).await.expect("its end");
+    within_deadline(answered).await.expect("its end");
 }
 
 #[tokio::test]
-async fn after_a_stop_a_kept_connection_is_answered_once_more_and_what_follows_is_not_taken() {
-    let mut door = Door::open().await;
-    let mut stream = door.connect().await;
-    stream.write_all(HANDED_IN.as_bytes()).await.expect("written");
-    door.handed().await.send(Answer::Accepted).expect("heard");
+async fn after_a_stop_a_kept_alive_connection_gets_one_more_answer_and_later_requests_are_not_accepted() {
+    let mut front = ClientSide::open().await;
+    let mut stream = front.connect().await;
+    stream.write_all(SUBMIT_REQUEST.as_bytes()).await.expect("written");
+    front.next_message().await.send(Answer::Accepted).expect("an open channel");
     let mut answer = vec![0; 12];
-    soon(stream.read_exact(&mut answer)).await.expect("an answer");
+    within_deadline(stream.read_exact(&mut answer)).await.expect("an answer");
     assert_eq!(answer, b"HTTP/1.1 202");
-    door.inbound.standing.enter(Phase::Stopping);
-    // On the resting connection, together with the next one, which crosses the close.
-    stream.write_all(HANDED_IN.replace("m-1", "m-2").repeat(2).as_bytes()).await.expect("written");
-    door.handed().await.send(Answer::Accepted).expect("heard");
-    let answers = rest(&mut stream).await;
+    front.inbound.standing.enter(Phase::Stopping);
+    // Two requests at once on the idle connection; the second races with the close.
+    stream.write_all(SUBMIT_REQUEST.replace("m-1", "m-2").repeat(2).as_bytes()).await.expect("written");
+    front.next_message().await.send(Answer::Accepted).expect("an open channel");
+    let answers = read_to_end(&mut stream).await;
     assert_eq!(answers.matches("HTTP/1.1 ").count(), 1, "one answer, then the end: {answers}");
-    assert!(door.inputs.try_recv().is_err(), "what came after the last answer is nobody's");
+    assert!(front.inputs.try_recv().is_err(), "no request after the last answer reaches the runtime");
 }
 
 #[tokio::test]
-async fn a_client_that_leaves_between_its_last_byte_and_the_answer_withdraws_its_message() {
-    let mut door = Door::open().await;
-    let mut stream = door.connect().await;
-    stream.write_all(HANDED_IN.as_bytes()).await.expect("written");
-    let reply = door.handed().await;
+async fn a_client_that_disconnects_between_its_last_byte_and_the_answer_withdraws_its_message() {
+    let mut front = ClientSide::open().await;
+    let mut stream = front.connect().await;
+    stream.write_all(SUBMIT_REQUEST.as_bytes()).await.expect("written");
+    let reply = front.next_message().await;
     socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("a close that resets");
     drop(stream);
-    // The reset has come once a later connection to the same door is served.
-    let mut other = door.connect().await;
-    other.write_all(HANDED_IN.replace("m-1", "m-2").as_bytes()).await.expect("written");
-    let second = door.handed().await;
-    reply.send(Answer::Accepted).expect("heard");
-    let Some(Input::Withdrawn(id)) = soon(door.inputs.recv()).await else { panic!("a withdrawal") };
+    // The reset has arrived once a later connection to the same front is served.
+    let mut other = front.connect().await;
+    other.write_all(SUBMIT_REQUEST.replace("m-1", "m-2").as_bytes()).await.expect("written");
+    let second = front.next_message().await;
+    reply.send(Answer::Accepted).expect("an open channel");
+    let Some(Input::Withdrawn(id)) = within_deadline(front.inputs.recv()).await else {
+        panic!("a withdrawal")
+    };
     assert_eq!(id, "m-1");
-    second.send(Answer::Accepted).expect("heard");
+    second.send(Answer::Accepted).expect("an open channel");
     other.shutdown().await.expect("half closed");
     assert!(
-        rest(&mut other).await.starts_with("HTTP/1.1 202 "),
-        "one that ends its sending hears its answer"
+        read_to_end(&mut other).await.starts_with("HTTP/1.1 202 "),
+        "a half-closed connection gets its answer"
     );
 }
 
 #[tokio::test]
-async fn an_answer_arrives_though_bytes_come_as_the_connection_closes() {
-    let door = Door::open().await;
-    let mut stream = door.connect().await;
-    // Half a megabyte behind a head that cannot be read.
-    let flood = ["NO REQUEST AT ALL\r\n\r\n", &"x".repeat(512 * 1024)].concat();
-    stream.write_all(flood.as_bytes()).await.expect("written, not reset");
-    let answer = rest(&mut stream).await;
+async fn an_answer_arrives_although_data_is_received_while_the_connection_closes() {
+    let front = ClientSide::open().await;
+    let mut stream = front.connect().await;
+    // Half a megabyte after a malformed head.
+    let request = ["NO REQUEST AT ALL\r\n\r\n", &"x".repeat(512 * 1024)].concat();
+    stream.write_all(request.as_bytes()).await.expect("written, not reset");
+    let answer = read_to_end(&mut stream).await;
     assert!(answer.starts_with("HTTP/1.1 400 "), "{answer}");
 }
--- a/tests/ended.rs
+++ b/tests/ended.rs
@@ -1,5 +1,5 @@
-//! A message that an endpoint ended is never sent on, whatever becomes of the answer, its connection or the relay: real
-//! processes under load, judged by what endpoints, the agent and clients saw.
+//! A message that an endpoint ended is never sent again, whatever happens to the answer, its connection or the relay. Real
+//! processes run under load, and the events seen by endpoints, the discovery agent and clients are checked.
 
 #[path = "ended/endpoints.rs"]
 mod endpoints;
@@ -11,35 +11,35 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
-use endpoints::{Cut, Ended, Fate, Plan, Seen, Shared};
+use endpoints::{AnswerFault, CutPoint, EndingAnswer, EndpointBehavior, Observations, SharedObservations};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use stand::site::configuration;
 use stand::*;
 
-/// Clients that hand messages in side by side.
+/// Number of clients that submit messages concurrently.
 const CLIENTS: usize = 8;
-/// The time for which they do.
-const LASTING: Duration = Duration::from_secs(5);
-/// The time that they give a message, in milliseconds.
+/// Time for which the clients submit messages.
+const SUBMIT_DURATION: Duration = Duration::from_secs(5);
+/// Time to live of each message, in milliseconds.
 const TIME_LEFT_MS: u64 = 2_500;
-/// A message's end may come so long after its time: 300 ms by the protocol, and the 50 ms of every limit there.
-const SLACK: Duration = Duration::from_millis(350);
-/// No report is overdue until this long after a restarted process is ready.
-const AFTER_READY: Duration = Duration::from_millis(1_500);
-/// What an answer says is stored within this long of its first line, so that a kill after that finds it.
+/// Latest end of a message after its deadline: 300 ms by the protocol, plus its general tolerance of 50 ms.
+const END_TOLERANCE: Duration = Duration::from_millis(350);
+/// Time after a restarted process is ready within which reports of earlier messages are not overdue.
+const RESTART_TOLERANCE: Duration = Duration::from_millis(1_500);
+/// Time after an answer's status line within which the relay stores the decision, so that a later kill does not lose it.
 const STORED_WITHIN: Duration = Duration::from_millis(20);
 /// Interval between kills, in milliseconds.
-const KILL_EVERY_MS: std::ops::Range<u64> = 500..800;
+const KILL_INTERVAL_MS: std::ops::Range<u64> = 500..800;
 const SEED: u64 = 11;
-/// Below the ports that systems choose by themselves.
+/// Port below the range of ephemeral ports.
 const RELAY_PORT: u16 = 9_000;
 
-/// When the time of each accepted message is up.
+/// Deadline of each accepted message.
 type Accepted = BTreeMap<String, Instant>;
 
 fn client(address: &str, number: usize, destinations: usize, accepted: &Mutex<Accepted>) {
-    let until = Instant::now() + LASTING;
+    let until = Instant::now() + SUBMIT_DURATION;
     let mut stream = connect(address);
     for n in 0.. {
         let now = Instant::now();
@@ -62,100 +62,100 @@
     }
 }
 
-/// A connection to a relay that may be down for a moment.
+/// Connects to a relay that may be down for a short time.
 fn reconnect(address: &str) -> TcpStream {
-    let by = Instant::now() + FAR;
+    let deadline = Instant::now() + FAR;
     loop {
         match TcpStream::connect(address) {
             Ok(stream) => {
                 stream.set_read_timeout(Some(FAR)).expect("a deadline");
                 return stream;
             }
-            Err(error) => assert!(Instant::now() < by, "no relay: {error}"),
+            Err(error) => assert!(Instant::now() < deadline, "no relay: {error}"),
         }
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// What a run showed.
+/// Violations found in a run.
 #[derive(Debug, Default)]
 struct Findings {
-    /// Messages that were called after the answer that is played, or after a 200.
-    sent_on: Vec<String>,
-    /// Messages that were reported though a 200 had ended them.
+    /// Messages that were called again after the tested answer or after a 200.
+    sent_again: Vec<String>,
+    /// Messages that were reported although a 200 had ended them.
     reported: Vec<String>,
-    /// Messages that were accepted and have no end in their time.
+    /// Messages that were accepted and did not end in time.
     lost: Vec<String>,
 }
 
 /// A kill of the relay.
 #[derive(Debug)]
 struct Kill {
-    /// Just before it.
+    /// Time just before SIGKILL was sent.
     before: Instant,
-    /// When the process was gone.
+    /// Time at which the process had ended.
     gone: Instant,
-    /// When the next one was ready.
+    /// Time at which the next process was ready.
     ready: Instant,
 }
 
-/// Kills of the relay.
+/// All kills of the relay in a run.
 #[derive(Debug, Default)]
 struct Kills(Vec<Kill>);
 
 impl Kills {
-    /// Whether the process that made the call was killed before its answer could be stored.
-    fn unstored(&self, ended: &Ended) -> bool {
+    /// Returns whether the process that made the call was killed before it could store the decision.
+    fn may_have_lost(&self, ended: &EndingAnswer) -> bool {
         self.0.iter().any(|kill| ended.called <= kill.gone && kill.before < ended.at + STORED_WITHIN)
     }
 
-    /// The time by which an end that is due then has to be there.
-    fn due(&self, due: Instant) -> Instant {
-        let restarts = self.0.iter().filter(|kill| kill.before <= due + SLACK);
-        restarts.map(|kill| kill.ready + AFTER_READY).fold(due + SLACK, Instant::max)
+    /// Latest time for the end of a message with this deadline.
+    fn latest_end(&self, due: Instant) -> Instant {
+        let kills = self.0.iter().filter(|kill| kill.before <= due + END_TOLERANCE);
+        kills.map(|kill| kill.ready + RESTART_TOLERANCE).fold(due + END_TOLERANCE, Instant::max)
     }
 }
 
-fn judge(seen: &Seen, accepted: &Accepted, kills: &Kills) -> Findings {
+fn find_violations(seen: &Observations, accepted: &Accepted, kills: &Kills) -> Findings {
     let ended = |id: &String, due: Instant| {
-        let due = kills.due(due);
-        let by_endpoint = seen.ended.get(id).is_some_and(|ended| ended.status != 504 && ended.at <= due);
-        by_endpoint || seen.reports.get(id).is_some_and(|at| *at <= due)
+        let latest = kills.latest_end(due);
+        let by_endpoint = seen.ended.get(id).is_some_and(|ended| ended.status != 504 && ended.at <= latest);
+        by_endpoint || seen.reports.get(id).is_some_and(|at| *at <= latest)
     };
-    let stored = |id: &&String| seen.ended.get(*id).is_some_and(|ended| !kills.unstored(ended));
+    let stored = |id: &&String| seen.ended.get(*id).is_some_and(|ended| !kills.may_have_lost(ended));
     let delivered = |id: &&String| seen.ended.get(*id).is_some_and(|ended| ended.status == 200);
     let sorted = |mut ids: Vec<String>| {
         ids.sort();
         ids
     };
     Findings {
-        sent_on: sorted(seen.called_again.iter().filter(stored).cloned().collect()),
+        sent_again: sorted(seen.called_again.iter().filter(stored).cloned().collect()),
         reported: sorted(seen.reports.keys().filter(delivered).filter(stored).cloned().collect()),
         lost: accepted.iter().filter(|(id, due)| !ended(id, **due)).map(|(id, _)| id.clone()).collect(),
     }
 }
 
-/// What happens to the relay meanwhile.
+/// Restarts of the relay during a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Relay {
-    /// Nothing.
-    Stays,
-    /// SIGKILL now and then, and at once a new process.
-    Killed,
-    /// SIGTERM, SIGKILL at the protocol's earliest time, and at once a new process.
-    Terminated,
+enum RelayRestarts {
+    /// No restarts.
+    Never,
+    /// Repeated SIGKILL, each followed at once by a new process.
+    Kill,
+    /// Repeated SIGTERM, then SIGKILL at the earliest time that the protocol allows, each followed at once by a new process.
+    Terminate,
 }
 
-/// A process that was told to end is killed after this at the soonest.
-const KILLED_AFTER: Duration = Duration::from_millis(3_700);
+/// Earliest time between SIGTERM and SIGKILL.
+const KILL_AFTER_TERM: Duration = Duration::from_millis(3_700);
 
-impl Relay {
-    /// Ends a process; tells when that began, as far as what it heard may be lost by it.
-    fn end(self, program: &mut Program) -> Instant {
+impl RelayRestarts {
+    /// Ends a process. Returns the time before SIGKILL, from which on received answers may be lost.
+    fn end_process(self, program: &mut Program) -> Instant {
         let began = Instant::now();
-        if self == Relay::Terminated {
+        if self == RelayRestarts::Terminate {
             program.signal("-TERM");
-            while program.runs() && began.elapsed() < KILLED_AFTER {
+            while program.runs() && began.elapsed() < KILL_AFTER_TERM {
                 std::thread::sleep(Duration::from_millis(5));
             }
         }
@@ -165,23 +165,24 @@
     }
 }
 
-/// An address that stays the same through restarts, and that no other test or process has.
-fn own_address() -> String {
+/// Returns an address that stays the same through restarts, and that no other test or process uses.
+fn unique_address() -> String {
     static NUMBER: AtomicU8 = AtomicU8::new(1);
     let (number, process) = (NUMBER.fetch_add(1, Ordering::Relaxed), std::process::id());
     format!("127.{}.{}.{number}:{RELAY_PORT}", 64 + (process >> 8 & 63), process & 255)
 }
 
-/// Plays clients, a relay and two endpoints that answer so. Prints what was seen.
-fn play(name: &str, status: u16, fate: &Fate, relay: Relay) -> (Findings, usize) {
-    let seen = Shared::default();
-    let plan = Plan { status, fate: fate.clone() };
+/// Runs clients, a relay and two endpoints that answer with this status and fault. Prints a summary; returns the violations
+/// and the number of messages that got the tested answer.
+fn run(name: &str, status: u16, fault: &AnswerFault, restarts: RelayRestarts) -> (Findings, usize) {
+    let seen = SharedObservations::default();
+    let behavior = EndpointBehavior { status, fault: fault.clone() };
     let addresses: Vec<String> =
-        (0..2).map(|n: u64| endpoints::endpoint(plan.clone(), SEED + (n << 32), &seen)).collect();
+        (0..2).map(|n: u64| endpoints::endpoint(behavior.clone(), SEED + (n << 32), &seen)).collect();
     let folder = folder(name);
     let mut file = configuration(&addresses);
     file["discovery"] = endpoints::agent(&seen).into();
-    let listen = own_address();
+    let listen = unique_address();
     file["listen"] = listen.clone().into();
     let (config, state) = (folder.join("config.json"), folder.join("state"));
     std::fs::write(&config, file.to_string()).expect("a file");
@@ -194,186 +195,190 @@
             let (address, accepted, destinations) = (&listen, &accepted, addresses.len());
             scope.spawn(move || client(address, number, destinations, accepted));
         }
-        let (until, mut rng) = (Instant::now() + LASTING, SmallRng::seed_from_u64(SEED));
-        while relay != Relay::Stays && Instant::now() < until {
-            std::thread::sleep(Duration::from_millis(rng.random_range(KILL_EVERY_MS)));
-            let before = relay.end(&mut program);
+        let (until, mut rng) = (Instant::now() + SUBMIT_DURATION, SmallRng::seed_from_u64(SEED));
+        while restarts != RelayRestarts::Never && Instant::now() < until {
+            std::thread::sleep(Duration::from_millis(rng.random_range(KILL_INTERVAL_MS)));
+            let before = restarts.end_process(&mut program);
             let gone = Instant::now();
             program = start();
             kills.0.push(Kill { before, gone, ready: Instant::now() });
         }
     });
-    std::thread::sleep(Duration::from_millis(TIME_LEFT_MS) + SLACK);
+    std::thread::sleep(Duration::from_millis(TIME_LEFT_MS) + END_TOLERANCE);
     drop(program);
     let (seen, accepted) = (seen.lock().expect("no panic"), accepted.into_inner().expect("no panic"));
     assert!(accepted.len() > 400, "only {} messages were accepted", accepted.len());
-    assert!(seen.played.len() > 40, "only {} answers were played", seen.played.len());
-    let found = judge(&seen, &accepted, &kills);
+    assert!(seen.tested.len() > 40, "only {} answers were tested", seen.tested.len());
+    let findings = find_violations(&seen, &accepted, &kills);
     let calls: u32 = seen.calls.values().sum();
-    let reported = seen.played.keys().filter(|id| seen.reports.contains_key(*id)).count();
+    let reported = seen.tested.keys().filter(|id| seen.reports.contains_key(*id)).count();
     println!(
-        "{name}, seed {SEED}: {} accepted, {calls} calls on {} connections, {} kills; played {}, of these reported {reported}; \
-         sent on {}, reported though delivered {}, lost {}",
+        "{name}, seed {SEED}: {} accepted, {calls} calls on {} connections, {} kills; tested {}, of these reported {reported}; \
+         sent again {}, reported though delivered {}, lost {}",
         accepted.len(),
         seen.connections,
         kills.0.len(),
-        seen.played.len(),
-        found.sent_on.len(),
-        found.reported.len(),
-        found.lost.len()
+        seen.tested.len(),
+        findings.sent_again.len(),
+        findings.reported.len(),
+        findings.lost.len()
     );
-    (found, seen.played.len())
+    (findings, seen.tested.len())
 }
 
-/// Plays it, and expects that nothing is sent on, lost, or reported though it was delivered.
-fn ends(name: &str, status: u16, fate: &Fate) {
-    let (found, _) = play(name, status, fate, Relay::Stays);
-    assert_eq!((found.sent_on, found.lost), (vec![], vec![]));
-    assert_eq!(found.reported, Vec::<String>::new(), "reported though delivered");
+/// Runs without restarts, and asserts that no message is sent again, lost, or reported although it was delivered.
+fn assert_ends_once(name: &str, status: u16, fault: &AnswerFault) {
+    let (findings, _) = run(name, status, fault, RelayRestarts::Never);
+    assert_eq!((findings.sent_again, findings.lost), (vec![], vec![]));
+    assert_eq!(findings.reported, Vec::<String>::new(), "reported though delivered");
 }
 
 #[test]
-fn a_message_that_is_over_is_not_sent_on_after_a_whole_answer() {
-    ends("ended-whole", 410, &Fate::Whole);
+fn an_ended_message_is_not_sent_again_after_a_complete_answer() {
+    assert_ends_once("ended-whole", 410, &AnswerFault::Intact);
 }
 
 #[test]
-fn a_message_that_is_over_is_not_sent_on_though_the_answer_says_close() {
-    ends("ended-says-close", 410, &Fate::SaysClose);
+fn an_ended_message_is_not_sent_again_if_the_answer_has_connection_close() {
+    assert_ends_once("ended-says-close", 410, &AnswerFault::ConnectionCloseHeader);
 }
 
 #[test]
-fn a_message_that_is_over_is_not_sent_on_though_the_answer_ends_by_close() {
-    ends("ended-ends-by-close", 410, &Fate::EndsByClose);
+fn an_ended_message_is_not_sent_again_if_the_answer_is_delimited_by_close() {
+    assert_ends_once("ended-ends-by-close", 410, &AnswerFault::DelimitedByClose);
 }
 
 #[test]
-fn a_message_that_is_over_is_not_sent_on_though_its_connection_is_closed_at_once() {
-    ends("ended-closed", 410, &Fate::Closed(0..1));
+fn an_ended_message_is_not_sent_again_if_its_connection_is_closed_at_once() {
+    assert_ends_once("ended-closed", 410, &AnswerFault::Closed(0..1));
 }
 
 #[test]
-fn a_message_that_is_over_is_not_sent_on_though_its_connection_is_closed_soon() {
-    ends("ended-closed-soon", 410, &Fate::Closed(2..300));
+fn an_ended_message_is_not_sent_again_if_its_connection_is_closed_soon() {
+    assert_ends_once("ended-closed-soon", 410, &AnswerFault::Closed(2..300));
 }
 
 #[test]
-fn a_message_that_is_over_is_not_sent_on_though_its_connection_is_reset() {
-    ends("ended-reset", 410, &Fate::Reset(1..30));
+fn an_ended_message_is_not_sent_again_if_its_connection_is_reset() {
+    assert_ends_once("ended-reset", 410, &AnswerFault::Reset(1..30));
 }
 
 #[test]
-fn a_message_that_is_over_is_not_sent_on_though_only_the_first_line_came() {
-    ends("ended-first-line", 410, &Fate::Cut(Cut::FirstLine));
+fn an_ended_message_is_not_sent_again_if_only_the_status_line_arrives() {
+    assert_ends_once("ended-first-line", 410, &AnswerFault::Cut(CutPoint::AfterStatusLine));
 }
 
 #[test]
-fn a_message_that_may_be_over_is_not_sent_on_though_the_first_line_has_no_end() {
-    ends("ended-no-line-end", 410, &Fate::Cut(Cut::BeforeLineEnd));
+fn a_message_that_may_have_ended_is_not_sent_again_if_the_status_line_is_truncated() {
+    assert_ends_once("ended-no-line-end", 410, &AnswerFault::Cut(CutPoint::BeforeStatusLineEnd));
 }
 
 #[test]
-fn a_message_that_is_over_is_not_sent_on_though_the_answer_breaks_off_in_its_head() {
-    ends("ended-half-header", 410, &Fate::Cut(Cut::HalfHeader));
+fn an_ended_message_is_not_sent_again_if_the_answer_is_truncated_in_its_head() {
+    assert_ends_once("ended-half-header", 410, &AnswerFault::Cut(CutPoint::InHeader));
 }
 
 #[test]
-fn a_message_that_is_over_is_not_sent_on_though_the_answer_breaks_off_in_its_body() {
-    ends("ended-half-body", 410, &Fate::Cut(Cut::HalfBody));
+fn an_ended_message_is_not_sent_again_if_the_answer_is_truncated_in_its_body() {
+    assert_ends_once("ended-half-body", 410, &AnswerFault::Cut(CutPoint::InBody));
 }
 
 #[test]
-fn a_message_that_is_over_is_not_sent_on_though_the_answer_breaks_off_in_a_chunk() {
-    ends("ended-half-chunk", 410, &Fate::Cut(Cut::HalfChunk));
+fn an_ended_message_is_not_sent_again_if_the_answer_is_truncated_in_a_chunk() {
+    assert_ends_once("ended-half-chunk", 410, &AnswerFault::Cut(CutPoint::InChunk));
 }
 
 #[test]
-fn a_message_that_is_over_is_not_sent_on_though_the_head_stalls() {
-    ends("ended-head-stalls", 410, &Fate::Stalled(Cut::FirstLine, 50..600));
+fn an_ended_message_is_not_sent_again_if_the_head_stalls() {
+    assert_ends_once("ended-head-stalls", 410, &AnswerFault::Stalled(CutPoint::AfterStatusLine, 50..600));
 }
 
 #[test]
-fn a_message_that_is_over_is_not_sent_on_though_the_body_stalls() {
-    ends("ended-body-stalls", 410, &Fate::Stalled(Cut::Head, 50..600));
+fn an_ended_message_is_not_sent_again_if_the_body_stalls() {
+    assert_ends_once("ended-body-stalls", 410, &AnswerFault::Stalled(CutPoint::AfterHead, 50..600));
 }
 
 #[test]
-fn a_message_that_is_over_is_not_sent_on_though_the_answer_comes_in_pieces() {
-    ends("ended-pieces", 410, &Fate::Pieces(0..60));
+fn an_ended_message_is_not_sent_again_if_the_answer_arrives_in_pieces() {
+    assert_ends_once("ended-pieces", 410, &AnswerFault::Pieces(0..60));
 }
 
 #[test]
-fn a_message_that_is_over_is_not_sent_on_though_a_copy_of_the_answer_comes_soon() {
-    let (found, _) = play("ended-copy-soon", 410, &Fate::Copied(0..20), Relay::Stays);
-    assert_eq!((found.sent_on, found.lost), (vec![], vec![]));
+fn an_ended_message_is_not_sent_again_if_a_copy_of_the_answer_follows_soon() {
+    let (findings, _) =
+        run("ended-copy-soon", 410, &AnswerFault::FollowedByCopy(0..20), RelayRestarts::Never);
+    assert_eq!((findings.sent_again, findings.lost), (vec![], vec![]));
 }
 
 #[test]
-fn a_message_that_is_over_is_not_sent_on_though_a_copy_of_the_answer_comes_late() {
-    let (found, _) = play("ended-copy-late", 410, &Fate::Copied(20..600), Relay::Stays);
-    assert_eq!((found.sent_on, found.lost), (vec![], vec![]));
+fn an_ended_message_is_not_sent_again_if_a_copy_of_the_answer_follows_late() {
+    let (findings, _) =
+        run("ended-copy-late", 410, &AnswerFault::FollowedByCopy(20..600), RelayRestarts::Never);
+    assert_eq!((findings.sent_again, findings.lost), (vec![], vec![]));
 }
 
 #[test]
-fn a_message_that_is_over_is_not_sent_on_though_another_answer_follows() {
-    let (found, _) = play("ended-another", 410, &Fate::Another(0..50), Relay::Stays);
-    assert_eq!((found.sent_on, found.lost), (vec![], vec![]));
+fn an_ended_message_is_not_sent_again_if_another_answer_follows() {
+    let (findings, _) =
+        run("ended-another", 410, &AnswerFault::FollowedByAnother(0..50), RelayRestarts::Never);
+    assert_eq!((findings.sent_again, findings.lost), (vec![], vec![]));
 }
 
 #[test]
-fn a_message_that_is_over_is_not_sent_on_by_a_process_that_starts_after_a_kill() {
-    let (found, _) = play("ended-killed", 410, &Fate::Whole, Relay::Killed);
-    assert_eq!((found.sent_on, found.lost), (vec![], vec![]));
-    assert_eq!(found.reported, Vec::<String>::new(), "reported though delivered");
+fn an_ended_message_is_not_sent_again_by_a_process_that_starts_after_a_kill() {
+    let (findings, _) = run("ended-killed", 410, &AnswerFault::Intact, RelayRestarts::Kill);
+    assert_eq!((findings.sent_again, findings.lost), (vec![], vec![]));
+    assert_eq!(findings.reported, Vec::<String>::new(), "reported though delivered");
 }
 
 #[test]
 fn a_message_that_is_over_is_not_sent_on_by_a_process_that_starts_after_a_kill_in_the_middle_of_its_answer() {
-    let stalled = Fate::Stalled(Cut::FirstLine, 50..600);
-    let (found, _) = play("ended-killed-stalled", 410, &stalled, Relay::Killed);
-    assert_eq!((found.sent_on, found.lost), (vec![], vec![]));
-    assert_eq!(found.reported, Vec::<String>::new(), "reported though delivered");
+    let stalled = AnswerFault::Stalled(CutPoint::AfterStatusLine, 50..600);
+    let (findings, _) = run("ended-killed-stalled", 410, &stalled, RelayRestarts::Kill);
+    assert_eq!((findings.sent_again, findings.lost), (vec![], vec![]));
+    assert_eq!(findings.reported, Vec::<String>::new(), "reported though delivered");
 }
 
 #[test]
-fn a_message_that_is_over_is_not_sent_on_by_a_process_that_starts_after_a_shutdown() {
-    let (found, _) = play("ended-terminated", 410, &Fate::Closed(2..300), Relay::Terminated);
-    assert_eq!((found.sent_on, found.lost), (vec![], vec![]));
-    assert_eq!(found.reported, Vec::<String>::new(), "reported though delivered");
+fn an_ended_message_is_not_sent_again_by_a_process_that_starts_after_a_shutdown() {
+    let (findings, _) = run("ended-terminated", 410, &AnswerFault::Closed(2..300), RelayRestarts::Terminate);
+    assert_eq!((findings.sent_again, findings.lost), (vec![], vec![]));
+    assert_eq!(findings.reported, Vec::<String>::new(), "reported though delivered");
 }
 
 #[test]
-fn a_delivered_message_is_neither_sent_on_nor_reported_though_its_connection_is_closed_at_once() {
-    ends("delivered-closed", 200, &Fate::Closed(0..1));
+fn a_delivered_message_is_neither_sent_again_nor_reported_if_its_connection_is_closed_at_once() {
+    assert_ends_once("delivered-closed", 200, &AnswerFault::Closed(0..1));
 }
 
 #[test]
-fn a_delivered_message_is_neither_sent_on_nor_reported_though_its_connection_is_closed_soon() {
-    ends("delivered-closed-soon", 200, &Fate::Closed(2..300));
+fn a_delivered_message_is_neither_sent_again_nor_reported_if_its_connection_is_closed_soon() {
+    assert_ends_once("delivered-closed-soon", 200, &AnswerFault::Closed(2..300));
 }
 
 #[test]
-fn a_delivered_message_is_neither_sent_on_nor_reported_though_its_connection_is_reset() {
-    ends("delivered-reset", 200, &Fate::Reset(1..30));
+fn a_delivered_message_is_neither_sent_again_nor_reported_if_its_connection_is_reset() {
+    assert_ends_once("delivered-reset", 200, &AnswerFault::Reset(1..30));
 }
 
 #[test]
-fn a_delivered_message_is_neither_sent_on_nor_reported_though_only_the_first_line_came() {
-    ends("delivered-first-line", 200, &Fate::Cut(Cut::FirstLine));
+fn a_delivered_message_is_neither_sent_again_nor_reported_if_only_the_status_line_arrives() {
+    assert_ends_once("delivered-first-line", 200, &AnswerFault::Cut(CutPoint::AfterStatusLine));
 }
 
 #[test]
-fn a_delivered_message_is_not_sent_on_though_a_copy_of_the_answer_comes() {
-    let (found, _) = play("delivered-copy", 200, &Fate::Copied(0..600), Relay::Stays);
-    assert_eq!((found.sent_on, found.lost), (vec![], vec![]));
+fn a_delivered_message_is_not_sent_again_if_a_copy_of_the_answer_follows() {
+    let (findings, _) =
+        run("delivered-copy", 200, &AnswerFault::FollowedByCopy(0..600), RelayRestarts::Never);
+    assert_eq!((findings.sent_again, findings.lost), (vec![], vec![]));
 }
 
 #[test]
-fn a_message_that_has_had_all_its_attempts_is_reported_with_no_further_call() {
-    ends("spent-whole", 504, &Fate::Whole);
+fn a_message_with_exhausted_attempts_is_reported_without_another_call() {
+    assert_ends_once("spent-whole", 504, &AnswerFault::Intact);
 }
 
 #[test]
-fn a_message_that_has_had_all_its_attempts_is_reported_with_no_further_call_though_the_answer_breaks_off() {
-    ends("spent-first-line", 504, &Fate::Cut(Cut::FirstLine));
+fn a_message_with_exhausted_attempts_is_reported_without_another_call_if_the_answer_is_truncated() {
+    assert_ends_once("spent-first-line", 504, &AnswerFault::Cut(CutPoint::AfterStatusLine));
 }
--- a/tests/ended/endpoints.rs
+++ b/tests/ended/endpoints.rs
@@ -1,4 +1,5 @@
-//! Endpoints whose answer that ends a message is cut, closed, reset, stalled or followed by something; they note what came.
+//! Endpoints whose answers that end a message are truncated, stalled or followed by other data, or have their connection
+//! closed or reset. They record the calls that they receive; a discovery agent records the reports.
 
 use std::collections::{HashMap, HashSet};
 use std::io::Write;
@@ -12,141 +13,142 @@
 
 use crate::stand::hear;
 
-/// Time that an endpoint takes to serve a call, in milliseconds.
-const WORK_MS: Range<u64> = 10..60;
-/// Share of messages whose first call gets the answer that is played.
-const PLAYED: f64 = 1.0 / 7.0;
-/// Share of other calls that are turned away.
-const TURNED_AWAY: f64 = 0.05;
+/// Time to serve a call, in milliseconds.
+const SERVICE_TIME_MS: Range<u64> = 10..60;
+/// Fraction of messages whose first call gets the tested answer.
+const TESTED_FRACTION: f64 = 1.0 / 7.0;
+/// Fraction of the other calls that are refused.
+const REFUSED_FRACTION: f64 = 0.05;
 
-/// What becomes of an answer and its connection. Times are in milliseconds after what was written before.
+/// Fault of an answer or its connection. Ranges are delays after the previous write, in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// It is whole, and the connection stays.
-    Whole,
-    /// It is whole and says `Connection: close`.
-    SaysClose,
-    /// It has no length and ends with its connection.
-    EndsByClose,
-    /// It is whole; then the connection is closed.
+pub enum AnswerFault {
+    /// The answer is complete, and the connection stays open.
+    Intact,
+    /// The answer is complete and has the header `Connection: close`.
+    ConnectionCloseHeader,
+    /// The answer has no length and is delimited by the end of its connection.
+    DelimitedByClose,
+    /// The answer is complete; then the connection is closed.
     Closed(Range<u64>),
-    /// It is whole; then the connection is reset.
+    /// The answer is complete; then the connection is reset.
     Reset(Range<u64>),
-    /// So much of it comes, then the connection is closed.
-    Cut(Cut),
-    /// So much of it comes; the rest comes later.
-    Stalled(Cut, Range<u64>),
-    /// It comes in four pieces.
+    /// The answer is written up to this point, then the connection is closed.
+    Cut(CutPoint),
+    /// The answer is written up to this point; the rest follows later.
+    Stalled(CutPoint, Range<u64>),
+    /// The answer is written in four pieces.
     Pieces(Range<u64>),
-    /// It is whole; then the same comes again.
-    Copied(Range<u64>),
-    /// It is whole; then another whole answer comes.
-    Another(Range<u64>),
+    /// The answer is complete; then a copy of it follows.
+    FollowedByCopy(Range<u64>),
+    /// The answer is complete; then another complete answer follows.
+    FollowedByAnother(Range<u64>),
 }
 
-/// The place at which an answer is cut.
+/// Point at which an answer is cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
-    /// Behind the reason, before the line's end.
-    BeforeLineEnd,
-    /// Behind the first line.
-    FirstLine,
+pub enum CutPoint {
+    /// After the reason phrase, before the end of the status line.
+    BeforeStatusLineEnd,
+    /// After the status line.
+    AfterStatusLine,
     /// In a header line.
-    HalfHeader,
-    /// Behind the head.
-    Head,
+    InHeader,
+    /// After the head.
+    AfterHead,
     /// In a body with a length.
-    HalfBody,
+    InBody,
     /// In a chunked body.
-    HalfChunk,
+    InChunk,
 }
 
-/// The answer that ends a message, and what becomes of it.
+/// The tested answer of an endpoint.
 #[derive(Clone, Debug)]
-pub struct Plan {
-    /// Its status.
+pub struct EndpointBehavior {
+    /// Status of the answer.
     pub status: u16,
-    /// What becomes of it.
-    pub fate: Fate,
+    /// Fault of the answer.
+    pub fault: AnswerFault,
 }
 
 /// An answer that ended a message.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended {
-    /// Its status.
+pub struct EndingAnswer {
+    /// Status of the answer.
     pub status: u16,
-    /// When the call came.
+    /// When the call arrived.
     pub called: Instant,
-    /// When its first line was written.
+    /// When the status line was written.
     pub at: Instant,
 }
 
-/// What all endpoints and the agent saw.
+/// What all endpoints and the discovery agent observed.
 #[derive(Debug, Default)]
-pub struct Seen {
-    /// Messages that were called, and how often.
+pub struct Observations {
+    /// Number of calls of each message.
     pub calls: HashMap<String, u32>,
     /// The first answer that ended each message.
-    pub ended: HashMap<String, Ended>,
-    /// When the answer that is played was written, for each message that got it.
-    pub played: HashMap<String, Instant>,
-    /// Messages that were called after the answer that is played, or after a 200.
+    pub ended: HashMap<String, EndingAnswer>,
+    /// When the tested answer was written, for each message that got it.
+    pub tested: HashMap<String, Instant>,
+    /// Messages that were called after the tested answer or after a 200.
     pub called_again: HashSet<String>,
-    /// When each report came first.
+    /// When the first report of each message arrived.
     pub reports: HashMap<String, Instant>,
-    /// Number of connections that were made to endpoints.
+    /// Number of connections made to endpoints.
     pub connections: usize,
 }
 
-/// What the stand-ins share.
-pub type Shared = Arc<Mutex<Seen>>;
+/// Observations shared by all simulated endpoints and the agent.
+pub type SharedObservations = Arc<Mutex<Observations>>;
 
 fn head(status: u16, framing: &str) -> String {
     format!("HTTP/1.1 {status} Status\r\nX-Backend-Load: x0=0.9,x1=400\r\n{framing}\r\n")
 }
 
-fn whole(status: u16) -> Vec<u8> {
+fn complete_answer(status: u16) -> Vec<u8> {
     format!("{}body of it", head(status, "Content-Length: 10\r\n")).into_bytes()
 }
 
-/// The bytes up to a cut, and those behind it.
-fn cut(status: u16, at: Cut) -> (Vec<u8>, Vec<u8>) {
-    let mut bytes = whole(status);
-    if at == Cut::HalfChunk {
+/// Returns the bytes up to a cut, and those after it.
+fn cut(status: u16, at: CutPoint) -> (Vec<u8>, Vec<u8>) {
+    let mut bytes = complete_answer(status);
+    if at == CutPoint::InChunk {
         bytes = format!("{}a\r\nbody of it\r\n0\r\n\r\n", head(status, "Transfer-Encoding: chunked\r\n"))
             .into_bytes();
     }
-    let find = |text: &str| {
-        bytes.windows(text.len()).position(|part| part == text.as_bytes()).map_or(0, |at| at + text.len())
+    let end_of = |text: &str| {
+        bytes.windows(text.len()).position(|window| window == text.as_bytes()).map_or(0, |at| at + text.len())
     };
     let length = match at {
-        Cut::BeforeLineEnd => find("Status"),
-        Cut::FirstLine => find("Status\r\n"),
-        Cut::HalfHeader => find("X-Backend"),
-        Cut::Head => find("\r\n\r\n"),
-        Cut::HalfBody | Cut::HalfChunk => find("body"),
+        CutPoint::BeforeStatusLineEnd => end_of("Status"),
+        CutPoint::AfterStatusLine => end_of("Status\r\n"),
+        CutPoint::InHeader => end_of("X-Backend"),
+        CutPoint::AfterHead => end_of("\r\n\r\n"),
+        CutPoint::InBody | CutPoint::InChunk => end_of("body"),
     };
     let rest = bytes.split_off(length);
     (bytes, rest)
 }
 
 /// Starts an endpoint; returns its address.
-pub fn endpoint(plan: Plan, seed: u64, seen: &Shared) -> String {
+pub fn endpoint(behavior: EndpointBehavior, seed: u64, seen: &SharedObservations) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a socket");
     let address = listener.local_addr().expect("an address").to_string();
     let seen = seen.clone();
     std::thread::spawn(move || {
         for (number, stream) in (0..).zip(listener.incoming().flatten()) {
             seen.lock().expect("no panic").connections += 1;
-            let (plan, seen, rng) = (plan.clone(), seen.clone(), SmallRng::seed_from_u64(seed ^ number));
-            std::thread::spawn(move || serve(stream, &plan, rng, &seen));
+            let (behavior, seen, rng) =
+                (behavior.clone(), seen.clone(), SmallRng::seed_from_u64(seed ^ number));
+            std::thread::spawn(move || serve(stream, &behavior, rng, &seen));
         }
     });
     address
 }
 
-/// Notes a call; whether it is the message's first one.
-fn note(seen: &Shared, id: &str) -> bool {
+/// Records a call; returns whether it is the message's first one.
+fn record_call(seen: &SharedObservations, id: &str) -> bool {
     let mut seen = seen.lock().expect("no panic");
     if seen.ended.contains_key(id) {
         seen.called_again.insert(id.into());
@@ -156,93 +158,94 @@
     *calls == 1
 }
 
-fn serve(mut stream: TcpStream, plan: &Plan, mut rng: SmallRng, seen: &Shared) {
+fn serve(mut stream: TcpStream, behavior: &EndpointBehavior, mut rng: SmallRng, seen: &SharedObservations) {
     let _ = stream.set_nodelay(true);
     while let Some(request) = hear(&mut stream) {
         let id = request.header("X-Correlation-Id").unwrap_or_default().to_string();
-        let (first, called) = (note(seen, &id), Instant::now());
-        std::thread::sleep(Duration::from_millis(rng.random_range(WORK_MS)));
-        let played = first && rng.random_bool(PLAYED);
+        let (first, called) = (record_call(seen, &id), Instant::now());
+        std::thread::sleep(Duration::from_millis(rng.random_range(SERVICE_TIME_MS)));
+        let tested = first && rng.random_bool(TESTED_FRACTION);
         let status = match () {
-            () if played => plan.status,
-            () if rng.random_bool(TURNED_AWAY) => 503,
+            () if tested => behavior.status,
+            () if rng.random_bool(REFUSED_FRACTION) => 503,
             () => 200,
         };
-        // Noted first, as the relay may act on the answer before the note.
-        if played || status == 200 {
+        // Recorded before the write, because the relay may act on the answer at once.
+        if tested || status == 200 {
             let mut seen = seen.lock().expect("no panic");
-            seen.ended.entry(id.clone()).or_insert(Ended { status, called, at: Instant::now() });
-            if played {
-                seen.played.insert(id, Instant::now());
+            seen.ended.entry(id.clone()).or_insert(EndingAnswer { status, called, at: Instant::now() });
+            if tested {
+                seen.tested.insert(id, Instant::now());
             }
         }
-        let fate = if played { plan.fate.clone() } else { Fate::Whole };
-        if !answer(&mut stream, status, &fate, &mut rng) {
+        let fault = if tested { behavior.fault.clone() } else { AnswerFault::Intact };
+        if !answer(&mut stream, status, &fault, &mut rng) {
             return;
         }
     }
 }
 
+/// Sleeps for a random time from the range, in milliseconds.
 fn pause(range: &Range<u64>, rng: &mut SmallRng) {
-    let late = rng.random_range(range.clone());
-    if late > 0 {
-        std::thread::sleep(Duration::from_millis(late));
+    let delay = rng.random_range(range.clone());
+    if delay > 0 {
+        std::thread::sleep(Duration::from_millis(delay));
     }
 }
 
-/// Writes an answer; whether the connection goes on.
-fn answer(stream: &mut TcpStream, status: u16, fate: &Fate, rng: &mut SmallRng) -> bool {
+/// Writes an answer; returns whether the connection stays open.
+fn answer(stream: &mut TcpStream, status: u16, fault: &AnswerFault, rng: &mut SmallRng) -> bool {
     let mut write = |bytes: &[u8]| stream.write_all(bytes).is_ok();
-    match fate {
-        Fate::Whole => write(&whole(status)),
-        Fate::SaysClose => {
+    match fault {
+        AnswerFault::Intact => write(&complete_answer(status)),
+        AnswerFault::ConnectionCloseHeader => {
             write(
                 format!("{}body of it", head(status, "Connection: close\r\nContent-Length: 10\r\n"))
                     .as_bytes(),
             );
             false
         }
-        Fate::EndsByClose => {
+        AnswerFault::DelimitedByClose => {
             write(format!("{}body of it", head(status, "")).as_bytes());
             false
         }
-        Fate::Closed(late) => {
-            write(&whole(status));
-            pause(late, rng);
+        AnswerFault::Closed(delay) => {
+            write(&complete_answer(status));
+            pause(delay, rng);
             let _ = stream.shutdown(Shutdown::Both);
             false
         }
-        Fate::Reset(late) => {
-            write(&whole(status));
-            pause(late, rng);
+        AnswerFault::Reset(delay) => {
+            write(&complete_answer(status));
+            pause(delay, rng);
             let _ = socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
             false
         }
-        Fate::Cut(at) => {
+        AnswerFault::Cut(at) => {
             write(&cut(status, *at).0);
             false
         }
-        Fate::Stalled(at, late) => {
+        AnswerFault::Stalled(at, delay) => {
             let (bytes, rest) = cut(status, *at);
             write(&bytes);
-            pause(late, rng);
+            pause(delay, rng);
             stream.write_all(&rest).is_ok()
         }
-        Fate::Pieces(late) => {
-            let bytes = whole(status);
+        AnswerFault::Pieces(delay) => {
+            let bytes = complete_answer(status);
             bytes.chunks(bytes.len().div_ceil(4)).all(|piece| {
-                pause(late, rng);
+                pause(delay, rng);
                 stream.write_all(piece).is_ok()
             })
         }
-        Fate::Copied(late) | Fate::Another(late) => {
-            let surplus = if matches!(fate, Fate::Copied(_)) { status } else { 200 };
-            let late = rng.random_range(late.clone());
-            let written = write(&whole(status));
+        AnswerFault::FollowedByCopy(delay) | AnswerFault::FollowedByAnother(delay) => {
+            let next_status = if matches!(fault, AnswerFault::FollowedByCopy(_)) { status } else { 200 };
+            let delay = rng.random_range(delay.clone());
+            let written = write(&complete_answer(status));
             if let Ok(mut copy) = stream.try_clone() {
                 std::thread::spawn(move || {
-                    std::thread::sleep(Duration::from_millis(late));
-                    let _ = copy.write_all(&whole(surplus));
+                    std::thread::sleep(Duration::from_millis(delay));
+                    let _ = copy.write_all(&complete_answer(next_status));
                 });
             }
             written
@@ -250,8 +253,8 @@
     }
 }
 
-/// Starts a discovery agent that takes reports; returns its address.
-pub fn agent(seen: &Shared) -> String {
+/// Starts a discovery agent that accepts reports; returns its address.
+pub fn agent(seen: &SharedObservations) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a socket");
     let address = listener.local_addr().expect("an address").to_string();
     let seen = seen.clone();
@@ -261,7 +264,7 @@
             std::thread::spawn(move || {
                 while let Some(request) = hear(&mut stream) {
                     let answer = if request.head.starts_with("POST /reports ") {
-                        take_reports(&seen, &request.body);
+                        record_reports(&seen, &request.body);
                         "HTTP/1.1 204 No Content\r\n\r\n".to_string()
                     } else {
                         std::thread::sleep(Duration::from_millis(500));
@@ -278,7 +281,7 @@
     address
 }
 
-fn take_reports(seen: &Shared, body: &[u8]) {
+fn record_reports(seen: &SharedObservations, body: &[u8]) {
     let now = Instant::now();
     for line in String::from_utf8_lossy(body).lines() {
         let report: serde_json::Value = serde_json::from_str(line).expect("a report");
--- a/tests/idempotency.rs
+++ b/tests/idempotency.rs
@@ -1,5 +1,5 @@
-//! Idempotency keys over sockets with the real program: whatever happens to a message, each of its calls carries the key and
-//! the body that its client handed in.
+//! Idempotency keys over sockets with the real program: each call of a message carries the key and the body that its client
+//! submitted, also after a retry or a restart.
 
 mod stand;
 
@@ -15,20 +15,20 @@
 const OK: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 const ERROR: &[u8] = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n";
 
-/// A relay and the endpoint of its destination 0.
-struct Scene {
+/// The folder of a relay, and the endpoint of its destination 0.
+struct TestSetup {
     folder: PathBuf,
     endpoint: TcpListener,
 }
 
-impl Scene {
+impl TestSetup {
     fn new(name: &str) -> Self {
         let endpoint = TcpListener::bind("127.0.0.1:0").expect("a socket");
         let at = endpoint.local_addr().expect("an address").to_string();
-        let scene = Scene { folder: folder(name), endpoint };
+        let setup = TestSetup { folder: folder(name), endpoint };
         let configuration = configuration(&[at]).to_string();
-        std::fs::write(scene.folder.join("config.json"), configuration).expect("a file");
-        scene
+        std::fs::write(setup.folder.join("config.json"), configuration).expect("a file");
+        setup
     }
 
     fn start(&self) -> Program {
@@ -38,34 +38,34 @@
         Program::start(&[], &[("PROXY_CONFIG", &config), ("PROXY_STATE", &state), log], 1)
     }
 
-    /// The next call, on whichever connection: an earlier one is read until it ends.
-    fn call(&self, open: Option<TcpStream>) -> (TcpStream, Heard) {
+    /// Reads the next call, from an open connection until that ends, then from a new one.
+    fn next_call(&self, open: Option<TcpStream>) -> (TcpStream, Heard) {
         let mut stream = open.unwrap_or_else(|| accept(&self.endpoint));
         match hear(&mut stream) {
-            Some(heard) => (stream, heard),
-            None => self.call(None),
+            Some(request) => (stream, request),
+            None => self.next_call(None),
         }
     }
 }
 
-/// A message with headers of its own beside the usual ones.
-fn hand(class: &str, id: &str, headers: &str) -> Vec<u8> {
+/// A submit request with additional headers.
+fn submit_request(class: &str, id: &str, headers: &str) -> Vec<u8> {
     let bytes = handed_in(class, id, 0, 12_000, BODY);
     let text = b"X-Account: desk\r\n";
-    let at = bytes.windows(text.len()).position(|window| window == text).expect("the header");
-    [&bytes[..at], headers.as_bytes(), &bytes[at..]].concat()
+    let position = bytes.windows(text.len()).position(|window| window == text).expect("the header");
+    [&bytes[..position], headers.as_bytes(), &bytes[position..]].concat()
 }
 
 fn key_header(key: &str) -> String {
     format!("Idempotency-Key: {key}\r\n")
 }
 
-fn status(program: &Program, bytes: &[u8]) -> (u16, String) {
-    let heard = ask(&mut connect(&program.addresses[0]), bytes).expect("an answer");
-    (heard.status(), String::from_utf8_lossy(&heard.body).into_owned())
+fn submit(program: &Program, bytes: &[u8]) -> (u16, String) {
+    let answer = ask(&mut connect(&program.addresses[0]), bytes).expect("an answer");
+    (answer.status(), String::from_utf8_lossy(&answer.body).into_owned())
 }
 
-fn is_unchanged(call: &Heard, id: &str) {
+fn assert_passed_on_unchanged(call: &Heard, id: &str) {
     assert_eq!(call.header("X-Correlation-Id"), Some(id));
     assert_eq!(call.header("Idempotency-Key"), Some(KEY));
     assert_eq!(call.body, BODY);
@@ -73,61 +73,61 @@
 
 #[test]
 fn a_keyed_message_carries_its_key_through_a_retry_after_it_may_have_run() {
-    let scene = Scene::new("idempotency-retry");
-    let relay = scene.start();
-    assert_eq!(status(&relay, &hand("warning-post", "w1", &key_header(KEY))).0, 202);
-    let (mut stream, first) = scene.call(None);
-    is_unchanged(&first, "w1");
-    // It may have run, and is tried again within its window.
+    let setup = TestSetup::new("idempotency-retry");
+    let relay = setup.start();
+    assert_eq!(submit(&relay, &submit_request("warning-post", "w1", &key_header(KEY))).0, 202);
+    let (mut stream, first) = setup.next_call(None);
+    assert_passed_on_unchanged(&first, "w1");
+    // The message may have run, and is retried within its deduplication window.
     stream.write_all(ERROR).expect("written");
-    let (mut stream, second) = scene.call(Some(stream));
-    is_unchanged(&second, "w1");
+    let (mut stream, second) = setup.next_call(Some(stream));
+    assert_passed_on_unchanged(&second, "w1");
     stream.write_all(OK).expect("written");
 }
 
 #[test]
 fn a_keyed_message_carries_its_key_through_a_restart() {
-    let scene = Scene::new("idempotency-restart");
-    let mut relay = scene.start();
-    assert_eq!(status(&relay, &hand("warning-post", "w1", &key_header(KEY))).0, 202);
-    let (mut stream, first) = scene.call(None);
-    is_unchanged(&first, "w1");
-    // It was turned away and has not run. The process dies, and its successor tries again.
+    let setup = TestSetup::new("idempotency-restart");
+    let mut relay = setup.start();
+    assert_eq!(submit(&relay, &submit_request("warning-post", "w1", &key_header(KEY))).0, 202);
+    let (mut stream, first) = setup.next_call(None);
+    assert_passed_on_unchanged(&first, "w1");
+    // The call was refused and has not run. The process is killed, and its successor retries.
     stream.write_all(b"HTTP/1.1 429 Full\r\nRetry-After: 9\r\nContent-Length: 0\r\n\r\n").expect("written");
-    // Its outcome is in the journal once it was logged and a later message is answered.
+    // The outcome is in the journal once it was logged and a later message is answered.
     relay.logged("attempt ended");
-    assert_eq!(status(&relay, &hand("paid-extra", "after", "")).0, 202);
+    assert_eq!(submit(&relay, &submit_request("paid-extra", "after", "")).0, 202);
     relay.kill();
     drop(stream);
-    let successor = scene.start();
+    let successor = setup.start();
     let (mut open, mut keyed) = (None, None);
     while keyed.is_none() {
-        let (mut stream, call) = scene.call(open.take());
+        let (mut stream, call) = setup.next_call(open.take());
         keyed = Some(call).filter(|call| call.header("X-Correlation-Id") == Some("w1"));
         stream.write_all(OK).expect("written");
         open = Some(stream);
     }
-    is_unchanged(&keyed.expect("its call"), "w1");
+    assert_passed_on_unchanged(&keyed.expect("its call"), "w1");
     drop(successor);
 }
 
 #[test]
-fn a_key_in_another_class_is_passed_on_and_none_is_made_up() {
-    let scene = Scene::new("idempotency-classes");
-    let relay = scene.start();
-    assert_eq!(status(&relay, &hand("paid-extra", "p1", &key_header(KEY))).0, 202);
-    let (mut stream, call) = scene.call(None);
-    is_unchanged(&call, "p1");
+fn a_key_of_a_message_of_another_class_is_passed_on_and_none_is_added() {
+    let setup = TestSetup::new("idempotency-classes");
+    let relay = setup.start();
+    assert_eq!(submit(&relay, &submit_request("paid-extra", "p1", &key_header(KEY))).0, 202);
+    let (mut stream, call) = setup.next_call(None);
+    assert_passed_on_unchanged(&call, "p1");
     stream.write_all(OK).expect("written");
-    assert_eq!(status(&relay, &hand("status-update", "s1", "")).0, 202);
-    let (_stream, call) = scene.call(Some(stream));
+    assert_eq!(submit(&relay, &submit_request("status-update", "s1", "")).0, 202);
+    let (_stream, call) = setup.next_call(Some(stream));
     assert_eq!((call.header("X-Correlation-Id"), call.header("Idempotency-Key")), (Some("s1"), None));
 }
 
 #[test]
-fn a_keyed_message_without_its_key_or_with_one_of_another_form_is_refused_by_name() {
-    let scene = Scene::new("idempotency-faults");
-    let relay = scene.start();
+fn a_keyed_message_with_a_missing_or_malformed_key_is_rejected_with_the_reason() {
+    let setup = TestSetup::new("idempotency-faults");
+    let relay = setup.start();
     let (longest, too_long) = ("k".repeat(255), "k".repeat(256));
     let twice = [key_header(KEY), key_header(KEY)].concat();
     let faults = [
@@ -139,13 +139,13 @@
         ("status-update", key_header(&too_long), "Idempotency-Key is longer than 255 bytes"),
         ("paid-extra", twice, "Idempotency-Key is there twice"),
     ];
-    for (number, (class, headers, why)) in faults.iter().enumerate() {
-        let (status, told) = status(&relay, &hand(class, &format!("f{number}"), headers));
-        assert_eq!((status, told.starts_with(why)), (400, true), "{class}, {headers}: {told}");
+    for (number, (class, headers, reason)) in faults.iter().enumerate() {
+        let (status, body) = submit(&relay, &submit_request(class, &format!("f{number}"), headers));
+        assert_eq!((status, body.starts_with(reason)), (400, true), "{class}, {headers}: {body}");
     }
-    // The longest is taken on, and what was refused left nothing behind that is called before it.
-    assert_eq!(status(&relay, &hand("warning-post", "w1", &key_header(&longest))).0, 202);
-    let (_stream, call) = scene.call(None);
-    let found = (call.header("X-Correlation-Id"), call.header("Idempotency-Key"));
-    assert_eq!(found, (Some("w1"), Some(longest.as_str())));
+    // The longest key is accepted, and none of the rejected messages is called before it.
+    assert_eq!(submit(&relay, &submit_request("warning-post", "w1", &key_header(&longest))).0, 202);
+    let (_stream, call) = setup.next_call(None);
+    let headers = (call.header("X-Correlation-Id"), call.header("Idempotency-Key"));
+    assert_eq!(headers, (Some("w1"), Some(longest.as_str())));
 }
