--- a/crates/escrow/src/lib.rs
+++ b/crates/escrow/src/lib.rs
@@ -19,7 +19,7 @@
 
 use std::collections::BTreeMap;
 
-use fleet::note::Stamp;
+use fleet::datagram::Stamp;
 use fleet::{Micros, Peer, SECOND};
 
 /// Intervals and timeouts of loans, in microseconds.
--- a/crates/escrow/tests/worlds.rs
+++ b/crates/escrow/tests/worlds.rs
@@ -3,7 +3,7 @@
 //! share is never used by two relays. With a safeguard removed, the checker has to find a sequence that violates it.
 
 use escrow::{BudgetShare, Loans};
-use fleet::note::Stamp;
+use fleet::datagram::Stamp;
 use fleet::{Micros, Peer};
 use stateright::{Checker, Model, Property};
 
--- a/crates/permits/src/steward.rs
+++ b/crates/permits/src/steward.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use escrow::next_time_slot;
-use fleet::note::Stamp;
+use fleet::datagram::Stamp;
 use overload::waits::MinimumWaits;
 
 use crate::limit::{Limit, WANTS_FOR};
--- a/src/input.rs
+++ b/src/input.rs
@@ -41,7 +41,7 @@
     /// A limit coordinator sent the minimum waits of messages to a destination, by priority.
     MinimumWaits(i64, overload::waits::MinimumWaits),
     /// The fleet's retry budget permits retries.
-    RetryTokens(repeats::node::Handed),
+    RetryTokens(repeats::node::TokenUpdate),
     /// The destination set, or a part of it, changed.
     DestinationsUpdated(ListForm, Vec<Member>),
     /// A receipt arrived for a message that was sent. If it ended no call, it carries what it proves apart from the message's
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -111,7 +111,7 @@
     fn surplus(&self, place: &Place, connection: &Connection, surplus: Surplus, during: &'static str) {
         let now = self.clock.now();
         self.policy().record_unsolicited_data(place, now);
-        ConnectionCounts::add(&self.counts.surplus);
+        ConnectionCounts::add(&self.counts.unsolicited);
         let (endpoint, number, calls) = (&*place.0, connection.number, connection.calls);
         let Surplus { bytes, status } = surplus;
         let mut warn_at = self.warn_at.lock().unwrap_or_else(PoisonError::into_inner);
@@ -275,7 +275,7 @@
         progress.heard.settlement = after.ok().and_then(Result::ok).unwrap_or(Settlement::Unsettled);
         progress.heard.copy_suspected = self.suspects(&place);
         if progress.heard.settlement == Settlement::UnsolicitedData {
-            ConnectionCounts::add(&self.watch.counts.doubtful);
+            ConnectionCounts::add(&self.watch.counts.ambiguous);
         }
         answer
     }
@@ -423,7 +423,7 @@
             let withheld = self.watch.policy().is_withheld(place, now);
             let taken = self.pool().take(place, now)?;
             if withheld {
-                ConnectionCounts::add(&self.watch.counts.withheld);
+                ConnectionCounts::add(&self.watch.counts.not_reused);
                 return None;
             }
             let Some((connection, since)) = taken.connection().await else { continue };
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -6,7 +6,7 @@
 use transient::{Persistence, retry_transient_watched};
 pub use transient::{RetryBackoff, RetryableError, retry_transient_blocking};
 
-use crate::standing::Standing;
+use crate::standing::ProcessStatus;
 use crate::store::StoreError;
 
 impl RetryableError for StoreError {
@@ -24,11 +24,11 @@
 /// # Errors
 /// The first error that is not transient.
 pub async fn retry_transient<T, E: RetryableError + Display>(
-    operation: &str, standing: &Standing, attempt: impl AsyncFnMut() -> Result<T, E>,
+    operation: &str, standing: &ProcessStatus, attempt: impl AsyncFnMut() -> Result<T, E>,
 ) -> Result<T, E> {
     let show_status = |error: Option<&E>| match error {
-        Some(error) => standing.waits_for(&format!("{operation}: {error}")),
-        None => standing.waits_for(""),
+        Some(error) => standing.set_waiting_reason(&format!("{operation}: {error}")),
+        None => standing.set_waiting_reason(""),
     };
     retry_transient_watched(operation, attempt, show_status).await
 }
