--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -11,7 +11,7 @@
 
 pub use crate::clock::Clock;
 
-use crate::interface::{Decision, Effect, Micros, Outcome, Report, TargetId};
+use crate::interface::{Decision, Effect, LimitReport, Micros, Outcome, TargetId};
 use crate::wire::RawEntry;
 
 /// The key by which a destination recognises retries of a message of a keyed class. It is passed on unchanged.
@@ -148,7 +148,7 @@
     /// When the complete answer had arrived.
     pub at: Micros,
     /// The endpoint's report on its limit.
-    pub report: Report,
+    pub report: LimitReport,
 }
 
 /// What the answer received so far means for the message of an attempt that has not ended, if it may end the message.
@@ -182,7 +182,7 @@
     /// When the complete answer had arrived, if one did.
     pub answered: Option<Micros>,
     /// The endpoint's report on its limit.
-    pub report: Report,
+    pub report: LimitReport,
     /// Evidence of the outcome, for the record.
     pub evidence: Evidence,
 }
@@ -201,7 +201,7 @@
     began: Micros,
     #[serde(default)]
     answered: Option<Micros>,
-    report: Report,
+    report: LimitReport,
     evidence: Evidence,
 }
 
--- a/src/input.rs
+++ b/src/input.rs
@@ -7,7 +7,7 @@
 
 use crate::exchange::{Answer, CallEnd, Exchange, Member, ProvisionalAnswer, ProvisionalDecision, Receipt};
 use crate::handed::Offer;
-use crate::interface::{Hearsay, ListForm, Micros, Settings};
+use crate::interface::{DestinationObservation, ListUpdate, Micros, Settings};
 
 /// Settings that were read again and can be applied.
 #[derive(Clone, Debug, PartialEq)]
@@ -35,7 +35,7 @@
     /// An attempt was answered, but the answer may be a copy of an earlier one; [`Input::CallEnded`] follows.
     ProvisionalAnswer(ProvisionalAnswer),
     /// Peers report the state of a destination.
-    PeerReport(Hearsay),
+    PeerReport(DestinationObservation),
     /// A limit coordinator granted calls to a destination.
     Granted(permits::node::Given),
     /// A limit coordinator sent the minimum waits of messages to a destination, by priority.
@@ -43,7 +43,7 @@
     /// The fleet's retry budget permits retries.
     RetryTokens(repeats::node::TokenUpdate),
     /// The destination set, or a part of it, changed.
-    DestinationsUpdated(ListForm, Vec<Member>),
+    DestinationsUpdated(ListUpdate, Vec<Member>),
     /// A receipt arrived for a message that was sent. If it ended no call, it carries what it proves apart from the message's
     /// end.
     Receipt(Receipt, Option<Late>),
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -101,7 +101,7 @@
             target: TargetId(7),
             address,
             path: PATH,
-            effect: Effect::Unsafe,
+            effect: Effect::NonIdempotent,
             start_by,
             deadline,
         }
@@ -308,7 +308,7 @@
     first.write_all(cut).await.expect("written");
     drop(first);
     let end = call_side.next_end().await;
-    assert_eq!((end.outcome, end.report.wait), (Outcome::Spoilt, Some(30 * S)));
+    assert_eq!((end.outcome, end.report.requested_wait), (Outcome::Spoilt, Some(30 * S)));
     let _second = call_side.outbound.call(call_side.call("second", &endpoint));
     assert_eq!(call_side.next_end().await.outcome, Outcome::Skipped);
 }
@@ -323,7 +323,7 @@
         connection.write_all(first_line.as_bytes()).await.expect("written");
         let (began, end) = (call_side.clock.now(), call_side.next_end().await);
         assert_eq!(
-            (end.outcome, end.report.wait),
+            (end.outcome, end.report.requested_wait),
             (Outcome::Spoilt, None),
             "a partial header line gives no wait"
         );
