--- a/crates/repeats/src/item.rs
+++ b/crates/repeats/src/item.rs
@@ -1,6 +1,6 @@
 //! Wire format of the retry budget: items in a frame of the peer link. Decoding must not panic on any input.
 
-use overload::waits::{Level, MOST_LEVELS};
+use overload::waits::{MAX_LEVELS, PriorityWait};
 use permits::Tiers;
 use serde::{Deserialize, Serialize};
 
@@ -52,7 +52,7 @@
         /// The destination.
         destination: i64,
         /// Priorities, highest first, with the steps that the first and the last retry of each wait.
-        levels: Vec<Level>,
+        levels: Vec<PriorityWait>,
     },
 }
 
@@ -69,7 +69,7 @@
     let decoded = items.len();
     items.retain(|item| match item {
         Item::Request { waiting, .. } => waiting.len() <= MAX_PRIORITY_LEVELS,
-        Item::Waits { levels, .. } => levels.len() <= MOST_LEVELS,
+        Item::Waits { levels, .. } => levels.len() <= MAX_LEVELS,
         Item::Transfer { .. } | Item::Received { .. } => true,
     });
     let valid = whole && items.len() == decoded;
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -37,7 +37,7 @@
 use crate::exchange::{Clock, Member};
 use crate::input::Input;
 use crate::interface::{DestinationObservation, Micros, RuleParameters};
-use crate::retry::until_works;
+use crate::retry::retry_transient;
 use crate::standing::ProcessStatus;
 
 use control::{Command, MAX_PENDING_COMMANDS, accept, listen, serve};
@@ -162,10 +162,10 @@
         let bound = socket.local_addr()?;
         Ok::<_, std::io::Error>((socket, bound))
     };
-    let (socket, bound) = until_works("notes", &standing, bind).await?;
+    let (socket, bound) = retry_transient("notes", &standing, bind).await?;
     info!("listening for datagrams of other relays on {bound}");
     let control = match setup.control.as_deref() {
-        Some(path) => Some(until_works("control socket", &standing, async || listen(path)).await?),
+        Some(path) => Some(retry_transient("control socket", &standing, async || listen(path)).await?),
         None => None,
     };
     let link = PeerLink::new(config, now);
@@ -335,16 +335,16 @@
             out.extend(permits.say_earlier(self.link.keys()));
             for grants in permits.take_given() {
                 // While the runtime's queue is full grants are dropped, and the relay falls back to its own pace.
-                let _ = self.inputs.try_send(Input::Permitted(grants));
+                let _ = self.inputs.try_send(Input::Granted(grants));
             }
             for (destination, waits) in permits.take_waits() {
-                let _ = self.inputs.try_send(Input::Waits(destination, waits));
+                let _ = self.inputs.try_send(Input::MinimumWaits(destination, waits));
             }
         }
         for tokens in self.repeats.iter_mut().flat_map(repeat::Node::take_updates).collect::<Vec<_>>() {
             // Tokens are returned to be offered again, as no other relay holds them.
-            if let (Err(TrySendError::Full(Input::Repeats(tokens))), Some(repeats)) =
-                (self.inputs.try_send(Input::Repeats(tokens)), &mut self.repeats)
+            if let (Err(TrySendError::Full(Input::RetryTokens(tokens))), Some(repeats)) =
+                (self.inputs.try_send(Input::RetryTokens(tokens)), &mut self.repeats)
             {
                 repeats.return_update(tokens);
             }
@@ -417,7 +417,7 @@
             let effective = received.iter().filter_map(|fact| observations.table().actionable(now, fact));
             for report_of in effective.filter_map(|fact| report_of(&fact)) {
                 // While the runtime's queue is full reports are dropped.
-                let _ = self.inputs.try_send(Input::Told(report_of));
+                let _ = self.inputs.try_send(Input::PeerReport(report_of));
             }
         }
         result
--- a/src/fleet/state_file.rs
+++ b/src/fleet/state_file.rs
@@ -10,7 +10,7 @@
 use serde::de::DeserializeOwned;
 use tracing::warn;
 
-use crate::retry::Retries;
+use crate::retry::RetryBackoff;
 
 /// Time limit for retries when a file cannot be read temporarily.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
@@ -30,13 +30,13 @@
 
 fn read_bytes(file: &Path) -> Result<Vec<u8>> {
     let (file_name, started) = (file.display().to_string(), Instant::now());
-    let mut retries = Retries::default();
+    let mut retries = RetryBackoff::default();
     loop {
         let error = match std::fs::read(file) {
             Ok(bytes) => return Ok(bytes),
             Err(error) => error,
         };
-        match retries.after(&file_name, &error) {
+        match retries.next_interval(&file_name, &error) {
             Some(interval) if started.elapsed() < READ_TIMEOUT => std::thread::sleep(interval),
             _ => return Err(error),
         }
--- a/src/handover/old.rs
+++ b/src/handover/old.rs
@@ -78,7 +78,9 @@
         let mut action = old.handle(OldEvent::Hello);
         let (state, received) = oneshot::channel();
         let (accept, accepted) = oneshot::channel();
-        if action != OldAction::Offer || inputs.send(Input::Offer(Offer { state, accepted })).await.is_err() {
+        if action != OldAction::Offer
+            || inputs.send(Input::HandoverOffered(Offer { state, accepted })).await.is_err()
+        {
             return;
         }
         // From here on the runtime is stopped, until the other process accepts or `accept` is dropped.
@@ -141,25 +143,25 @@
         tokio::select! {
             input = inputs.recv() => match input {
                 None => return,
-                Some(Input::Handed(_, _, reply)) if successor_gone => {
+                Some(Input::Submitted(_, _, reply)) if successor_gone => {
                     drop(reply.send(Answer::Refused(SUCCESSOR_GONE.into(), None)));
                 }
-                Some(Input::Handed(exchange, _, reply)) => {
+                Some(Input::Submitted(exchange, _, reply)) => {
                     requests += 1;
                     waiting.insert(requests, reply);
                     let _ = link.send(&LinkMessage::Submitted(requests, (*exchange).clone())).await;
                 }
-                Some(Input::Heard(heard)) if understands_heard => {
+                Some(Input::ProvisionalDecision(heard)) if understands_heard => {
                     let _ = link.send(&LinkMessage::Heard(heard)).await;
                 }
-                Some(Input::Ended(end)) => {
+                Some(Input::CallEnded(end)) => {
                     in_flight.remove(&(end.id.clone(), end.attempt));
                     let _ = link.send(&LinkMessage::Ended(end)).await;
                 }
                 Some(Input::Withdrawn(id)) => {
                     let _ = link.send(&LinkMessage::Withdrawn(id)).await;
                 }
-                Some(Input::Acknowledged(ids)) => {
+                Some(Input::ReportsAcknowledged(ids)) => {
                     let _ = link.send(&LinkMessage::Acknowledged(ids)).await;
                 }
                 Some(Input::Stop(last)) => until = last + STOP_MARGIN,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
-pub use verdict::Verdict;
+pub use verdict::Decision;
 
 /// A time of the caller's monotonic clock, or a duration, in microseconds.
 pub type Micros = i64;
@@ -369,10 +369,10 @@
     }
 
     /// Returns the decision for the message where nothing else is known about the attempt.
-    pub fn verdict(self) -> Verdict {
+    pub fn verdict(self) -> Decision {
         match self {
-            Outcome::Ok => Verdict::Delivered,
-            outcome => Verdict::Owed { may_have_run: outcome.may_have_run() },
+            Outcome::Ok => Decision::Delivered,
+            outcome => Decision::Pending { may_have_run: outcome.may_have_run() },
         }
     }
 }
@@ -404,7 +404,7 @@
     /// Time since the attempt was sent.
     pub elapsed: Micros,
     /// Decision for the message.
-    pub decision: Verdict,
+    pub decision: Decision,
     /// What the destination reported about its limit.
     pub report: LimitReport,
 }
@@ -481,7 +481,7 @@
         /// The destination.
         destination: DestinationId,
         /// Waits by value, in thousandths.
-        waits: overload::waits::Waits,
+        waits: overload::waits::MinimumWaits,
     },
     /// The shared retry budget of a destination granted more retries.
     RetryTokens {
@@ -490,7 +490,7 @@
         /// Number of additional retries that may start.
         tokens: u32,
         /// Minimum waits by value of the retries that get no token, if reported.
-        waits: Option<overload::waits::Waits>,
+        waits: Option<overload::waits::MinimumWaits>,
     },
     /// A timer set by the module expired.
     Timer(u64),
--- a/src/recording.rs
+++ b/src/recording.rs
@@ -15,8 +15,8 @@
 
 use crate::exchange::{Answer, Clock, Exchange};
 use crate::input::Input;
-use crate::interface::{Micros, Outcome, Settings, Verdict};
-use crate::retry::{MayPass, until_works};
+use crate::interface::{Decision, Micros, Outcome, Settings};
+use crate::retry::{RetryableError, retry_transient};
 use crate::standing::ProcessStatus;
 use crate::store::{Heard, Journal, takeover};
 
@@ -110,7 +110,7 @@
 }
 
 /// The end of an attempt, as it is recorded.
-pub fn attempt_end(at: Micros, outcome: Outcome, verdict: Verdict, evidence: Evidence) -> Heard {
+pub fn attempt_end(at: Micros, outcome: Outcome, verdict: Decision, evidence: Evidence) -> Heard {
     let result = match outcome {
         Outcome::Ok => "ok",
         Outcome::Error => "error",
@@ -124,9 +124,12 @@
         Outcome::Skipped => "skipped",
     };
     let effect = match verdict {
-        Verdict::Delivered => Effect::Took,
+        Decision::Delivered => Effect::Took,
         verdict if verdict.may_have_run() => Effect::InDoubt,
-        Verdict::Over | Verdict::MayHaveEnded | Verdict::Spent { .. } | Verdict::Owed { .. } => Effect::Never,
+        Decision::EndedElsewhere
+        | Decision::MayHaveEnded
+        | Decision::AttemptsExhausted { .. }
+        | Decision::Pending { .. } => Effect::Never,
     };
     Heard { at, result: result.into(), effect, evidence: evidence.bounded() }
 }
@@ -164,17 +167,17 @@
     }
 }
 
-impl MayPass for OpenError {
+impl RetryableError for OpenError {
     /// A full disk and a database locked by another client may be transient.
-    fn may_pass(&self, elapsed: Duration) -> bool {
+    fn is_retryable(&self, elapsed: Duration) -> bool {
         matches!(self.0, Failure::Busy(_) | Failure::Full(_)) && elapsed < OPEN_RETRY_PERIOD
     }
 }
 
-impl MayPass for RecordingError {
-    fn may_pass(&self, elapsed: Duration) -> bool {
+impl RetryableError for RecordingError {
+    fn is_retryable(&self, elapsed: Duration) -> bool {
         match self {
-            RecordingError::File { error, .. } => error.may_pass(elapsed),
+            RecordingError::File { error, .. } => error.is_retryable(elapsed),
             RecordingError::NameHeld(..) | RecordingError::Record { .. } => false,
         }
     }
@@ -224,7 +227,7 @@
     let marker = state.join("record-taken-over");
     let new = !marker.exists();
     let unusable = |failure| RecordingError::Record { target: target.clone(), failure };
-    let opened = until_works("record", status, async || {
+    let opened = retry_transient("record", status, async || {
         Record::open(&recording.target, relay).await.map_err(OpenError)
     });
     match opened.await.map_err(|OpenError(failure)| failure) {
@@ -241,7 +244,7 @@
     let options = Options {
         target: recording.target.clone(),
         relay: relay.to_string(),
-        holder: until_works("record", status, async || holder(state)).await?,
+        holder: retry_transient("record", status, async || holder(state)).await?,
         seed,
         figures,
         drop_oldest: recording.drop_oldest,
@@ -286,7 +289,7 @@
         }
         let text = format!("{} {}\n", taken.unfinished, taken.finished);
         let mark = async || std::fs::write(&marker, &text).map_err(file_error(&marker));
-        until_works("record", status, mark).await?;
+        retry_transient("record", status, mark).await?;
     }
     Ok((Started { handle }, numbers))
 }
@@ -296,7 +299,7 @@
     let mut batches = Vec::new();
     while numbers.recv_many(&mut batches, 64).await > 0 {
         let written = batches.drain(..).flatten().collect();
-        if inputs.send(Input::Recorded(written)).await.is_err() {
+        if inputs.send(Input::RecordsWritten(written)).await.is_err() {
             return;
         }
     }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use overload::waits::Waits;
+use overload::waits::MinimumWaits;
 use permits::held::Gate;
 use repeats::tokens::RetryTokens;
 use serde::{Deserialize, Serialize};
@@ -602,7 +602,7 @@
             let retry_after = self.settings.max_retry_after.map(|longest| {
                 let path = self.destinations.get(&message.destination).map(|d| &self.paths[d.path]);
                 let queue_wait = |path: &SendPath| {
-                    path.coordinator_waits(now).map_or(0, |waits| waits.of(message.priority(), 1.0))
+                    path.coordinator_waits(now).map_or(0, |waits| waits.wait_at(message.priority(), 1.0))
                 };
                 let wait = path.map_or(0, |path| (path.next_start(now, true) - now).max(queue_wait(path)));
                 wait.min(longest).max(longest / 2)
@@ -720,15 +720,17 @@
             }
             let path = &mut self.paths[destination.path];
             if path.failure.is_some() || path.wait_until > Some(now) {
-                path.backlog.rest();
+                path.backlog.reset();
                 continue;
             }
             let waiting = permits::tiers(destination.queue.iter().map(|(order, _)| order.0.0));
-            path.backlog.says(now, 0, &waiting);
+            path.backlog.update(now, 0, &waiting);
             let path = &self.paths[destination.path];
-            let waits =
-                path.coordinator_waits(now).cloned().unwrap_or_else(|| path.backlog.waits(now, 0, None));
-            if waits.is_none() {
+            let waits = path
+                .coordinator_waits(now)
+                .cloned()
+                .unwrap_or_else(|| path.backlog.minimum_waits(now, 0, None));
+            if waits.is_zero() {
                 continue;
             }
             // For each queued message, the fraction of the messages of its priority that are ahead of it.
@@ -745,18 +747,18 @@
 
     /// Returns whether a message is expected to start before its latest start, at its present value or at one
     /// that it falls to. `ahead` is the fraction of the messages of its priority that are ahead of it.
-    fn can_start_in_time(&self, now: Micros, message: &Message, ahead: f64, waits: &Waits) -> bool {
+    fn can_start_in_time(&self, now: Micros, message: &Message, ahead: f64, waits: &MinimumWaits) -> bool {
         let (last, mut from, mut ahead) = (self.latest_start(message), now, ahead);
         // A message of any but the least valuable class is also judged by the queue at its full value: if it
         // is late, the less valuable messages that are ahead of it will lose value and fall behind it.
         let (value, classes) = (self.settings.classes[message.class].value, &self.settings.classes);
         let full_priority = permits::tier((value * VALUE_SCALE) as u64);
-        if classes.iter().any(|class| class.value < value) && now + waits.of(full_priority, 1.0) < last {
+        if classes.iter().any(|class| class.value < value) && now + waits.wait_at(full_priority, 1.0) < last {
             return true;
         }
         while from < last {
             let (value, until) = self.value_at(message, from);
-            if now + waits.of(permits::tier(value), ahead) < until.min(last) {
+            if now + waits.wait_at(permits::tier(value), ahead) < until.min(last) {
                 return true;
             }
             (from, ahead) = (until, 0.0);
@@ -955,7 +957,7 @@
                 }
                 path.in_flight += 1;
                 path.grants.take();
-                path.backlog.starts(now, 0);
+                path.backlog.record_start(now, 0);
                 path.pacer.on_start(now);
                 path.assign_next_slot(
                     &self.settings,
--- a/src/rules/outcomes.rs
+++ b/src/rules/outcomes.rs
@@ -50,7 +50,7 @@
         let AttemptResult { id, outcome, decision, .. } = *result;
         let Some(message) = self.messages.get_mut(&id) else { return };
         let Some(call_id) = message.call.take() else { return };
-        let ended = decision.ended() || message.ended_elsewhere;
+        let ended = decision.is_ended() || message.ended_elsewhere;
         let answered = message.answered_attempt.take();
         let Some((started_at, zone)) = answered.or_else(|| self.apply_to_call(now, call_id, result)) else {
             return;
@@ -67,10 +67,10 @@
         let Some(message) = self.messages.get(&id) else { return };
         if ended {
             self.remove_message(id);
-        } else if decision == Verdict::MayHaveEnded {
+        } else if decision == Decision::MayHaveEnded {
             actions.push(Action::Fail(id));
             self.remove_message(id);
-        } else if !decision.owed()
+        } else if !decision.is_pending()
             || message.attempts >= self.settings.max_attempts
             || self.latest_start(message) <= now
             || (message.may_have_run.is_some()
--- a/src/runtime/recovery.rs
+++ b/src/runtime/recovery.rs
@@ -5,7 +5,7 @@
 use record::model::{Entry, Evidence, Outcome as RecordedOutcome, Trace};
 use tracing::{debug, error, warn};
 
-use crate::exchange::{Exchange, Member, Notice};
+use crate::exchange::{Exchange, Member, NonDeliveryReport};
 use crate::interface::*;
 use crate::recording::attempt_end;
 use crate::store::{Replay, StoreError, Stored};
@@ -40,7 +40,7 @@
     }
 
     /// Sends again the non-delivery reports that were not acknowledged.
-    pub(super) fn resend(&mut self, notices: Vec<Notice>) {
+    pub(super) fn resend(&mut self, notices: Vec<NonDeliveryReport>) {
         for notice in notices {
             self.unacknowledged.insert(notice.id.clone());
             // The end of the message is stored, so the report may be sent at any time.
@@ -71,7 +71,7 @@
                 message = exchange.id,
                 "accepted for class {:?}, which is no longer configured; the message fails", exchange.class
             );
-            let notice = Notice { id: exchange.id.clone(), handed_back: false, retry_in_ms: None };
+            let notice = NonDeliveryReport { id: exchange.id.clone(), handed_back: false, retry_in_ms: None };
             return self.end_message((&exchange, trace, RecordedOutcome::Failed), true, Some(notice));
         };
         let (class, new) = self.classes.intern(&exchange.class, &terms);
@@ -83,24 +83,25 @@
     }
 
     /// Ends a message by what an earlier process received on its last attempt. It is never sent again.
-    pub(super) fn resume_heard(&mut self, mut stored: Stored, verdict: Verdict) {
+    pub(super) fn resume_heard(&mut self, mut stored: Stored, verdict: Decision) {
         let terms = stored.terms.clone().or_else(|| self.current_terms(&stored.class));
         let non_idempotent = terms.is_none_or(|terms| terms.effect == Effect::NonIdempotent);
         let mut trace = self.resumed_trace(&mut stored);
         if let Some(trace) = &mut trace {
-            let attempt_outcome = if verdict == Verdict::Delivered { Outcome::Ok } else { Outcome::Skipped };
+            let attempt_outcome = if verdict == Decision::Delivered { Outcome::Ok } else { Outcome::Skipped };
             let end = attempt_end(self.clock.now(), attempt_outcome, verdict, Evidence::default());
             let attempt = stored.attempts.saturating_sub(1);
             trace.ended(attempt, end.at, &end.result, end.effect, end.evidence);
         }
         let Stored { id, class, tenant, due, destination, idempotency_key, body, .. } = stored;
         let exchange = Exchange { id, class, tenant, due, destination, idempotency_key, body };
-        debug!(message = exchange.id, verdict = verdict.word(), "ended by what an earlier process received");
+        debug!(message = exchange.id, verdict = verdict.label(), "ended by what an earlier process received");
         let (outcome, notice) = match verdict {
-            Verdict::Delivered => (RecordedOutcome::Delivered, None),
-            Verdict::Over => (RecordedOutcome::Withdrawn, None),
-            Verdict::MayHaveEnded | Verdict::Spent { .. } | Verdict::Owed { .. } => {
-                let notice = Notice { id: exchange.id.clone(), handed_back: false, retry_in_ms: None };
+            Decision::Delivered => (RecordedOutcome::Delivered, None),
+            Decision::EndedElsewhere => (RecordedOutcome::Withdrawn, None),
+            Decision::MayHaveEnded | Decision::AttemptsExhausted { .. } | Decision::Pending { .. } => {
+                let notice =
+                    NonDeliveryReport { id: exchange.id.clone(), handed_back: false, retry_in_ms: None };
                 (RecordedOutcome::Failed, Some(notice))
             }
         };
--- a/src/state.rs
+++ b/src/state.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use overload::backlog::Backlog;
-use overload::waits::Waits;
+use overload::waits::MinimumWaits;
 use permits::held::Held;
 use repeats::tokens::RetryTokens;
 use serde::{Deserialize, Serialize};
@@ -77,7 +77,7 @@
     /// Waits of all senders' messages as the coordinator reported them, and the time until which the report
     /// counts.
     #[serde(default, rename = "waits")]
-    pub(crate) reported_waits: (Waits, Micros),
+    pub(crate) reported_waits: (MinimumWaits, Micros),
 }
 
 impl SendPath {
@@ -89,7 +89,7 @@
     }
 
     /// Returns the coordinator's report of waits, unless it is outdated.
-    pub(crate) fn coordinator_waits(&self, now: Micros) -> Option<&Waits> {
+    pub(crate) fn coordinator_waits(&self, now: Micros) -> Option<&MinimumWaits> {
         Some(&self.reported_waits).filter(|(_, until)| now < *until).map(|(waits, _)| waits)
     }
 
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -15,8 +15,8 @@
 use record::model::{Effect, Evidence, Trace};
 use serde::{Deserialize, Serialize};
 
-use crate::exchange::{IdempotencyKey, Notice, Receipt};
-use crate::interface::{Class, Micros, Verdict};
+use crate::exchange::{IdempotencyKey, NonDeliveryReport, Receipt};
+use crate::interface::{Class, Decision, Micros};
 
 pub use self::bytes::{decode, encode};
 pub use error::StoreError;
@@ -105,14 +105,14 @@
         /// Which attempt.
         attempt: u32,
         /// What that means for the message if nothing more comes.
-        verdict: Verdict,
+        verdict: Decision,
     },
     /// The message is over; with the notice that is owed, if one is.
     Ended {
         /// The message.
         id: String,
         /// What the platform is to be told.
-        notice: Option<Notice>,
+        notice: Option<NonDeliveryReport>,
     },
     /// The platform has acknowledged the notice.
     Acknowledged {
@@ -151,9 +151,9 @@
     /// In the order taken.
     pub messages: Vec<Stored>,
     /// Messages that have ended or may have, by what was heard of their last attempt.
-    pub heard: Vec<(Stored, Verdict)>,
+    pub heard: Vec<(Stored, Decision)>,
     /// Not acknowledged yet.
-    pub notices: Vec<Notice>,
+    pub notices: Vec<NonDeliveryReport>,
     /// Still remembered.
     pub receipts: Vec<Receipt>,
     /// Not known to be in the database, by number.
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -160,7 +160,9 @@
     }
 
     /// Ends the latest attempt of a message with a verdict that differs from that of its outcome.
-    pub fn complete_with(&mut self, id: u64, target: u32, outcome: Outcome, verdict: Verdict) -> Vec<Action> {
+    pub fn complete_with(
+        &mut self, id: u64, target: u32, outcome: Outcome, verdict: Decision,
+    ) -> Vec<Action> {
         let attempt = self.attempts.get(&id).copied().unwrap_or(1) - 1;
         self.event(Event::AttemptEnded(AttemptResult {
             id: MessageId(id),
--- a/tests/outage.rs
+++ b/tests/outage.rs
@@ -12,7 +12,7 @@
 use record::model::{Evidence, Expected};
 use tokio::sync::{mpsc, oneshot};
 use tulipfall::config::Config;
-use tulipfall::exchange::{Answer, CallEnd, Clock, Exchange, Notice, OutboundCall};
+use tulipfall::exchange::{Answer, CallEnd, Clock, Exchange, NonDeliveryReport, OutboundCall};
 use tulipfall::input::Input;
 use tulipfall::interface::*;
 use tulipfall::net::clearance::Clearance;
@@ -105,7 +105,7 @@
     fails: Arc<AtomicBool>,
     inputs: mpsc::Sender<Input>,
     calls: mpsc::UnboundedReceiver<OutboundCall>,
-    notices: mpsc::UnboundedReceiver<Notice>,
+    notices: mpsc::UnboundedReceiver<NonDeliveryReport>,
 }
 
 impl TestRuntime {
@@ -153,7 +153,7 @@
             body: "x".into(),
         };
         let (reply, answer) = oneshot::channel();
-        self.inputs.send(Input::Handed(Arc::new(exchange), None, reply)).await.expect("it runs");
+        self.inputs.send(Input::Submitted(Arc::new(exchange), None, reply)).await.expect("it runs");
         within_timeout(answer).await.expect("an answer")
     }
 
@@ -164,13 +164,13 @@
             attempt: call.attempt,
             target: call.target,
             outcome,
-            verdict: outcome.verdict(),
+            decision: outcome.verdict(),
             began: self.clock.now(),
             answered: None,
             report: LimitReport::default(),
             evidence: Evidence::default(),
         };
-        self.inputs.send(Input::Ended(end)).await.expect("it runs");
+        self.inputs.send(Input::CallEnded(end)).await.expect("it runs");
     }
 
     /// Returns the next call that starts.
@@ -202,7 +202,7 @@
     fixture.set_store_failure(false);
     // After the advised delay a message is accepted.
     tokio::time::sleep(Duration::from_millis(300)).await;
-    assert_eq!(fixture.submit("third", "paid-extra", 3_000_000).await, Answer::Taken);
+    assert_eq!(fixture.submit("third", "paid-extra", 3_000_000).await, Answer::Accepted);
     assert_eq!(fixture.call().await.exchange.id, "third", "the refused messages are not sent");
     assert!(fixture.calls.try_recv().is_err());
 }
@@ -210,7 +210,7 @@
 #[tokio::test(flavor = "local")]
 async fn a_retry_waits_until_its_start_is_stored() {
     let mut fixture = TestRuntime::start("outage-retry");
-    assert_eq!(fixture.submit("held", "paid-extra", 8_000_000).await, Answer::Taken);
+    assert_eq!(fixture.submit("held", "paid-extra", 8_000_000).await, Answer::Accepted);
     let first = fixture.call().await;
     fixture.set_store_failure(true);
     fixture.end(&first, Outcome::ConnectFailed).await;
@@ -229,7 +229,7 @@
 #[tokio::test(flavor = "local")]
 async fn overdue_message_is_reported_while_the_store_is_unavailable() {
     let mut fixture = TestRuntime::start("outage-due");
-    assert_eq!(fixture.submit("held", "status-update", 900_000).await, Answer::Taken);
+    assert_eq!(fixture.submit("held", "status-update", 900_000).await, Answer::Accepted);
     let first = fixture.call().await;
     let due = first.exchange.due;
     fixture.set_store_failure(true);
@@ -247,11 +247,11 @@
 #[tokio::test(flavor = "local")]
 async fn message_that_has_ended_gets_the_same_answer_while_the_store_is_unavailable() {
     let mut fixture = TestRuntime::start("outage-before");
-    assert_eq!(fixture.submit("done", "paid-extra", 3_000_000).await, Answer::Taken);
+    assert_eq!(fixture.submit("done", "paid-extra", 3_000_000).await, Answer::Accepted);
     let call = fixture.call().await;
     fixture.end(&call, Outcome::Ok).await;
-    assert_eq!(fixture.submit("done", "paid-extra", 3_000_000).await, Answer::TakenBefore);
+    assert_eq!(fixture.submit("done", "paid-extra", 3_000_000).await, Answer::AlreadyAccepted);
     fixture.set_store_failure(true);
     assert!(matches!(fixture.submit("new", "paid-extra", 3_000_000).await, Answer::Refused(..)));
-    assert_eq!(fixture.submit("done", "paid-extra", 3_000_000).await, Answer::TakenBefore);
+    assert_eq!(fixture.submit("done", "paid-extra", 3_000_000).await, Answer::AlreadyAccepted);
 }
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -132,7 +132,7 @@
     let mut harness = Harness::with_endpoints(Settings { slots: 1, ..settings() });
     harness.arrive(1, IDEMPOTENT, 1);
     let destination = DestinationId(1);
-    let waits = overload::waits::Waits::told(vec![(1000, 210, 210)]);
+    let waits = overload::waits::MinimumWaits::from_levels(vec![(1000, 210, 210)]);
     harness.event(Event::QueueWaits { destination, waits });
     assert_eq!(
         ended(&resume(&mut harness, 2, IDEMPOTENT, 0, false)),
@@ -179,7 +179,7 @@
     let mut harness = Harness::with_default_settings();
     harness.arrive(1, IDEMPOTENT, 1);
     harness.now += MS;
-    let actions = harness.complete_with(1, 1, Outcome::Spoilt, Verdict::MayHaveEnded);
+    let actions = harness.complete_with(1, 1, Outcome::Spoilt, Decision::MayHaveEnded);
     assert_eq!((sent(&actions), ended(&actions)), (vec![], vec![(1, false)]));
     assert_eq!(sent(&without_times(harness.advance(20 * S))), [] as [u64; 0]);
 }
@@ -192,7 +192,8 @@
         let mut harness = Harness::with_default_settings();
         harness.arrive(1, class, 1);
         harness.now += MS;
-        let actions = harness.complete_with(1, 1, Outcome::Skipped, Verdict::Spent { may_have_run });
+        let actions =
+            harness.complete_with(1, 1, Outcome::Skipped, Decision::AttemptsExhausted { may_have_run });
         assert_eq!((sent(&actions), ended(&actions)), (vec![], vec![(1, refused)]));
     }
 }
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -4,7 +4,7 @@
 mod harness;
 
 use harness::*;
-use overload::waits::Waits;
+use overload::waits::MinimumWaits;
 use tulipfall::interface::*;
 
 fn rig_with_budget() -> Harness {
@@ -21,7 +21,7 @@
     actions.iter().filter_map(request).collect()
 }
 
-fn grant_tokens(harness: &mut Harness, repeats: u32, waits: Option<Waits>) -> Vec<Action> {
+fn grant_tokens(harness: &mut Harness, repeats: u32, waits: Option<MinimumWaits>) -> Vec<Action> {
     harness.event(Event::RetryTokens { destination: DestinationId(1), tokens: repeats, waits })
 }
 
@@ -54,11 +54,14 @@
     harness.arrive(1, IDEMPOTENT, 1);
     harness.complete(1, 1, Outcome::ConnectFailed);
     assert_eq!(
-        ended(&grant_tokens(&mut harness, 0, Some(Waits::told(vec![(1000, 50, 50)])))),
+        ended(&grant_tokens(&mut harness, 0, Some(MinimumWaits::from_levels(vec![(1000, 50, 50)])))),
         [],
         "a wait of five seconds, with twenty left"
     );
-    assert_eq!(ended(&grant_tokens(&mut harness, 0, Some(Waits::told(vec![(1000, 250, 250)])))), [(1, true)]);
+    assert_eq!(
+        ended(&grant_tokens(&mut harness, 0, Some(MinimumWaits::from_levels(vec![(1000, 250, 250)])))),
+        [(1, true)]
+    );
 }
 
 #[test]
--- a/tests/shedding.rs
+++ b/tests/shedding.rs
@@ -4,7 +4,7 @@
 mod harness;
 
 use harness::*;
-use overload::waits::Waits;
+use overload::waits::MinimumWaits;
 use tulipfall::interface::*;
 
 /// Ids of messages, and how long they waited.
@@ -69,7 +69,7 @@
         let mut harness = Harness::with_endpoints(Settings { slots: 1, ..settings() });
         harness.arrive(1, IDEMPOTENT, 1);
         let destination = DestinationId(1);
-        harness.event(Event::QueueWaits { destination, waits: Waits::told(levels) });
+        harness.event(Event::QueueWaits { destination, waits: MinimumWaits::from_levels(levels) });
         harness.advance(later);
         let mut ends = ended(&harness.arrive(2, IDEMPOTENT, 1));
         ends.extend(ended(&harness.arrive(3, HIGH_VALUE, 1)));
@@ -91,7 +91,7 @@
     harness.arrive(1, IDEMPOTENT, 1);
     harness.complete(1, 1, Outcome::Error);
     let destination = DestinationId(1);
-    let waits = Waits::told(vec![(9000, 250, 250)]);
+    let waits = MinimumWaits::from_levels(vec![(9000, 250, 250)]);
     assert_eq!(
         ended(&harness.event(Event::QueueWaits { destination, waits })),
         [],
@@ -109,11 +109,11 @@
     // At its late value of 1.2 it would wait too long, but the queue at its full value is short.
     let levels = vec![(3000, 0, 20), (1200, 250, 250)];
     harness.advance(10 * S);
-    let waits = Waits::told(levels.clone());
+    let waits = MinimumWaits::from_levels(levels.clone());
     assert_eq!(ended(&harness.event(Event::QueueWaits { destination, waits })), []);
     // A message of the least valuable class is judged by its present value alone.
     assert_eq!(ended(&harness.arrive(4, IDEMPOTENT, 1)), [(4, true)]);
-    let waits = Waits::told(vec![(3000, 0, 250), (1200, 250, 250)]);
+    let waits = MinimumWaits::from_levels(vec![(3000, 0, 250), (1200, 250, 250)]);
     assert!(
         !ended(&harness.event(Event::QueueWaits { destination, waits })).is_empty(),
         "the queue at its full value is too long"
@@ -127,7 +127,7 @@
         harness.arrive(1, IDEMPOTENT, 1);
         let destination = DestinationId(1);
         let levels = vec![(2000, 0, 0), (1000, steps, steps)];
-        harness.event(Event::QueueWaits { destination, waits: Waits::told(levels) });
+        harness.event(Event::QueueWaits { destination, waits: MinimumWaits::from_levels(levels) });
         harness.event(Event::Shutdown(harness.now + 100 * MS));
         let advice = |action: &Action| match action {
             Action::Refuse { retry_after, .. } => *retry_after,
--- a/tests/trouble.rs
+++ b/tests/trouble.rs
@@ -137,7 +137,7 @@
             target: TargetId(1),
             outcome: Outcome::TimedOut,
             elapsed: 100 * MS,
-            decision: Verdict::Over,
+            decision: Decision::EndedElsewhere,
             report: LimitReport::default(),
         }));
     }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -84,7 +84,7 @@
         target: TargetId(0),
         outcome: Outcome::Full(Some(250_000)),
         elapsed: 18_500,
-        decision: Verdict::Owed { may_have_run: false },
+        decision: Decision::Pending { may_have_run: false },
         report: LimitReport { remaining_fraction: Some(0.5), limit: Some(7.25), requested_wait: None },
     };
     assert_eq!(done, Some(Event::AttemptEnded(expected)));
