--- a/crates/repeats/src/node.rs
+++ b/crates/repeats/src/node.rs
@@ -11,7 +11,7 @@
 use fleet::members::Members;
 use fleet::nearest;
 use overload::backlog::Backlog;
-use overload::waits::Waits;
+use overload::waits::MinimumWaits;
 use permits::{Tiers, take, waiting};
 
 use crate::budget::{
@@ -65,7 +65,7 @@
     /// Number of further retries that may start.
     pub retries: u32,
     /// Minimum waiting times by priority, where they are reported.
-    pub waits: Option<Waits>,
+    pub waits: Option<MinimumWaits>,
 }
 
 /// The latest request of another relay.
@@ -296,7 +296,7 @@
         nearest(destination, self.config.relays, avoided).unwrap_or(self.config.me)
     }
 
-    fn queue_update(&mut self, destination: i64, retries: u32, waits: Option<Waits>) {
+    fn queue_update(&mut self, destination: i64, retries: u32, waits: Option<MinimumWaits>) {
         let update =
             self.updates.entry(destination).or_insert(TokenUpdate { destination, retries: 0, waits: None });
         update.retries += retries;
@@ -415,12 +415,12 @@
         let me = self.config.me;
         let Some(state) = self.destinations.get_mut(&destination) else { return };
         let waiting = state.waiting.clone();
-        state.backlog.says(now, me, &waiting);
+        state.backlog.update(now, me, &waiting);
         let mut own = 0;
         while state.budget.tokens() > 0
             && let Some(peer) = state.next_relay(now, me)
         {
-            state.backlog.starts(now, peer);
+            state.backlog.record_start(now, peer);
             if peer == me {
                 state.budget.spend(1);
                 take(&mut state.waiting);
@@ -436,17 +436,17 @@
             }
         }
         let waits = (!state.waiting.is_empty()).then(|| self.waits(now, destination, me));
-        if own > 0 || waits.as_ref().is_some_and(|waits| !waits.is_none()) {
+        if own > 0 || waits.as_ref().is_some_and(|waits| !waits.is_zero()) {
             self.queue_update(destination, own, waits);
         }
     }
 
     /// Minimum waiting times of a relay's retries, at the rate at which tokens come in.
-    fn waits(&mut self, now: Micros, destination: i64, peer: Peer) -> Waits {
+    fn waits(&mut self, now: Micros, destination: i64, peer: Peer) -> MinimumWaits {
         let relays = f64::from(self.config.relays.max(1));
-        let Some(state) = self.destinations.get_mut(&destination) else { return Waits::default() };
+        let Some(state) = self.destinations.get_mut(&destination) else { return MinimumWaits::default() };
         let rate = state.income(now, 0) + FLOOR_UNITS_PER_SECOND as f64 / UNITS_PER_TOKEN as f64 / relays;
-        state.backlog.waits(now, peer, Some(rate))
+        state.backlog.minimum_waits(now, peer, Some(rate))
     }
 
     /// Processes an item of another relay.
@@ -477,7 +477,7 @@
                     (0..total.saturating_sub(received)).for_each(|_| take(&mut request.waiting));
                 }
                 let waiting = request.waiting.clone();
-                state.backlog.says(now, from.peer, &waiting);
+                state.backlog.update(now, from.peer, &waiting);
                 self.replies_due.insert((from.peer, destination));
                 self.changed.insert(destination);
             }
@@ -507,7 +507,7 @@
             }
             Item::Waits { destination, levels } => {
                 if self.destinations.contains_key(&destination) {
-                    self.queue_update(destination, 0, Some(Waits::told(levels)));
+                    self.queue_update(destination, 0, Some(MinimumWaits::from_levels(levels)));
                 }
             }
         }
@@ -521,8 +521,8 @@
             let total = state.budget.given_to((peer, incarnation));
             let waits = state.requests.get(&peer).is_some_and(|request| !request.waiting.is_empty());
             self.outgoing.push((peer, Item::Transfer { destination, incarnation, total, is_reply: true }));
-            let waits = if waits { self.waits(now, destination, peer) } else { Waits::default() };
-            if !waits.is_none() {
+            let waits = if waits { self.waits(now, destination, peer) } else { MinimumWaits::default() };
+            if !waits.is_zero() {
                 self.outgoing.push((peer, Item::Waits { destination, levels: waits.levels().to_vec() }));
             }
         }
--- a/crates/repeats/src/tokens.rs
+++ b/crates/repeats/src/tokens.rs
@@ -2,7 +2,7 @@
 //!
 //! Invariant: no more retries start than tokens were granted.
 
-use overload::waits::Waits;
+use overload::waits::MinimumWaits;
 use permits::Tiers;
 use serde::{Deserialize, Serialize};
 
@@ -20,7 +20,7 @@
     #[serde(rename = "good_until")]
     valid_until: Micros,
     /// Estimated waiting times, and the time until which they are valid.
-    waits: (Waits, Micros),
+    waits: (MinimumWaits, Micros),
     /// Waiting retries as last requested. Not handed over: another process requests again.
     #[serde(skip)]
     requested: Tiers,
@@ -38,7 +38,7 @@
     }
 
     /// Adds tokens, and replaces the estimate of waiting times where there is one.
-    pub fn update(&mut self, now: Micros, retries: u32, waits: Option<Waits>) {
+    pub fn update(&mut self, now: Micros, retries: u32, waits: Option<MinimumWaits>) {
         if retries > 0 {
             (self.count, self.valid_until) = (self.available(now) as u32 + retries, now + TOKEN_VALIDITY);
         }
@@ -57,7 +57,7 @@
     }
 
     /// Minimum waiting times of retries that may not start yet, while an estimate is valid.
-    pub fn waits(&self, now: Micros) -> Option<&Waits> {
+    pub fn waits(&self, now: Micros) -> Option<&MinimumWaits> {
         let (waits, until) = &self.waits;
         (self.available(now) == 0 && now < *until).then_some(waits)
     }
--- a/src/command/opening.rs
+++ b/src/command/opening.rs
@@ -19,7 +19,7 @@
 use tulipfall::input::Input;
 use tulipfall::interface::Micros;
 use tulipfall::net::inbound::Inbound;
-use tulipfall::retry::{until_works, until_works_blocking};
+use tulipfall::retry::{retry_transient, retry_transient_blocking};
 use tulipfall::standing::{Phase, ProcessStatus};
 use tulipfall::store::{Journal, Owner, own};
 
@@ -32,7 +32,7 @@
 
 /// Creates the event loop.
 pub fn event_loop() -> std::io::Result<Runtime> {
-    until_works_blocking("event loop", || {
+    retry_transient_blocking("event loop", || {
         let build = || Builder::new_current_thread().enable_all().build();
         // Tokio registers its signal handling here, and panics when no file descriptor is available.
         catch_unwind(AssertUnwindSafe(build)).unwrap_or_else(|_| Err(nix::errno::Errno::EMFILE.into()))
@@ -68,7 +68,7 @@
     state: &Path, relay: &str, status: &ProcessStatus,
 ) -> Result<(Clock, Option<ClockAnchor>), Failure> {
     let folder = state.display();
-    let saved = until_works("clock", status, async || ClockAnchor::read(state)).await;
+    let saved = retry_transient("clock", status, async || ClockAnchor::read(state)).await;
     let saved = saved.map_err(|error| format!("{folder}: {error}"))?;
     if let Some(other) = saved.as_ref().map(ClockAnchor::relay).filter(|other| *other != relay) {
         return Err(
@@ -93,7 +93,7 @@
         let bound = listener.local_addr()?;
         Ok::<_, std::io::Error>((listener, bound))
     };
-    let bound = until_works(&what, status, bind).await;
+    let bound = retry_transient(&what, status, bind).await;
     let (listener, bound) = bound.map_err(|error| format!("{what}: {error}"))?;
     // Logged because with port 0 the system chooses the port.
     info!("listening on {bound}");
@@ -115,17 +115,17 @@
     let Takeover { owner, handed_over } = if from_other {
         take_over(&config.state, &config.name, clock, status).await?
     } else {
-        let owner = until_works("state folder", status, async || own(&config.state)).await;
+        let owner = retry_transient("state folder", status, async || own(&config.state)).await;
         let owner = owner.map_err(|error| format!("{folder}: {error}"))?;
         let other = || format!("{folder}: another process uses this state folder");
         Takeover { owner: owner.ok_or_else(other)?, handed_over: None }
     };
     if let Some(anchor) = anchor {
-        let kept = until_works("clock", status, async || anchor.write(&config.state)).await;
+        let kept = retry_transient("clock", status, async || anchor.write(&config.state)).await;
         kept.map_err(|error| format!("{folder}: {error}"))?;
     }
     let open = async || Journal::open(&config.state, config.journal_room());
-    let (journal, _) = until_works("journal", status, open).await?;
+    let (journal, _) = retry_transient("journal", status, open).await?;
     Ok(OpenState { owner, journal, handed_over })
 }
 
@@ -139,7 +139,7 @@
     let by = clock.instant(clock.now() + ANSWER_PERIOD_US);
     let refuse = async {
         while let Some(input) = inputs.recv().await {
-            if let Input::Handed(_, _, reply) = input {
+            if let Input::Submitted(_, _, reply) = input {
                 let _ = reply.send(Answer::Refused(STOPPING.into(), None));
             }
         }
--- a/src/command/reload.rs
+++ b/src/command/reload.rs
@@ -7,8 +7,8 @@
 use tracing::{info, warn};
 
 use tulipfall::config::{Config, ConfigError};
-use tulipfall::input::{Input, Retuned};
-use tulipfall::retry::Retries;
+use tulipfall::input::{Input, ReloadedSettings};
+use tulipfall::retry::RetryBackoff;
 
 /// The addresses of discovery and of non-delivery reports, as text.
 pub fn addresses(config: &Config) -> [Option<Arc<str>>; 2] {
@@ -20,7 +20,7 @@
     /// The configuration at the start of the process, against which settings that need a restart are compared.
     pub start: Config,
     /// The settings applied last.
-    pub last_applied: Option<Retuned>,
+    pub last_applied: Option<ReloadedSettings>,
     /// Current addresses of discovery and of non-delivery reports.
     pub addresses: [watch::Sender<Option<Arc<str>>>; 2],
     /// Current addresses of all relays.
@@ -43,7 +43,7 @@
         if self.last_applied.as_ref().unwrap_or(&self.start.retuned(&self.start)) != &retuned {
             // Sent from another task: this one also drives the runtime, which has to receive the input.
             let (inputs, retuned) = (self.inputs.clone(), Box::new(retuned.clone()));
-            tokio::spawn(async move { inputs.send(Input::Retuned(retuned)).await });
+            tokio::spawn(async move { inputs.send(Input::SettingsReloaded(retuned)).await });
         }
         self.last_applied = Some(retuned);
         for (address, to) in addresses(&new).into_iter().zip(&self.addresses) {
@@ -65,7 +65,7 @@
 /// Retries of one reload: a file that is temporarily unreadable is read again, while the relay serves.
 #[derive(Default)]
 pub struct ReloadRetry {
-    retries: Retries,
+    retries: RetryBackoff,
     retry_at: Option<tokio::time::Instant>,
 }
 
@@ -83,7 +83,8 @@
         &mut self, load: impl FnOnce() -> Result<Config, ConfigError>,
     ) -> Option<Result<Config, ConfigError>> {
         let read = load();
-        let interval = read.as_ref().err().and_then(|error| self.retries.after("configuration", error));
+        let interval =
+            read.as_ref().err().and_then(|error| self.retries.next_interval("configuration", error));
         self.retry_at = interval.map(|interval| tokio::time::Instant::now() + interval);
         interval.is_none().then_some(read)
     }
--- a/src/command/run.rs
+++ b/src/command/run.rs
@@ -29,7 +29,7 @@
 use tulipfall::net::outbound::Outbound;
 use tulipfall::net::{Protocol, discovery, door};
 use tulipfall::recording::{self, Outbox};
-use tulipfall::retry::{Retries, until_works, until_works_blocking};
+use tulipfall::retry::{RetryBackoff, retry_transient, retry_transient_blocking};
 use tulipfall::rules::Relay;
 use tulipfall::runtime::{End, Runtime};
 use tulipfall::standing::{Phase, ProcessStatus};
@@ -56,7 +56,7 @@
 
 /// Runs a relay until it is stopped. `load` reads the configuration; its argument is true at a reload.
 pub fn start(load: impl Fn(bool) -> Result<Config, ConfigError>) -> Result<(), Failure> {
-    let config = until_works_blocking("configuration", || load(false))?;
+    let config = retry_transient_blocking("configuration", || load(false))?;
     event_loop()?.block_on(run(config, load))
 }
 
@@ -75,7 +75,7 @@
     // Opened before the replay, so that operators can see that the process is starting.
     if let Some(ops) = config.ops {
         tokio::select! {
-            opened = until_works("ops", &status, async || door::open(ops, status.clone(), clock)) => {
+            opened = retry_transient("ops", &status, async || door::open(ops, status.clone(), clock)) => {
                 opened.map_err(|error| format!("ops {ops}: {error}"))?;
             }
             () = signals.stop() => return Ok(()),
@@ -149,7 +149,7 @@
     };
     let replay = journal.replay();
     let settings = &config.settings;
-    let connections = Connections::new(clock, settings.connect_timeout, settings.connection_idle, max_idle)
+    let connections = Connections::new(clock, settings.connect_timeout, settings.idle_timeout, max_idle)
         .counted_by(status.connections().clone());
     let as2 = config.as2.take().map(|as2| {
         let receipts = replay.receipts.clone();
@@ -209,7 +209,7 @@
         known = started.endpoints.unwrap_or(known);
     }
     // Pushed lists come from an agent on the same machine. Otherwise all relays query one server, which limits the rate.
-    let (asking, watch) = match config.settings.ask_every {
+    let (asking, watch) = match config.settings.list_request_interval {
         None => (1, discovery::WATCH_PUSHED),
         Some(_) => (config.settings.senders, discovery::WATCH),
     };
@@ -336,13 +336,13 @@
 async fn open_to_successors(
     state: &Path, name: String, clock: Clock, inputs: mpsc::Sender<Input>, links: mpsc::Sender<Successor>,
 ) {
-    let mut retries = Retries::default();
+    let mut retries = RetryBackoff::default();
     loop {
         let error = match link::listen(state) {
             Ok(listener) => return offer(listener, name, clock, inputs, links).await,
             Err(error) => error,
         };
-        let Some(interval) = retries.after("handover", &error) else {
+        let Some(interval) = retries.next_interval("handover", &error) else {
             return warn!("no process can take over while this one runs: {error}");
         };
         tokio::time::sleep(interval).await;
@@ -356,7 +356,7 @@
         let bound = listener.local_addr()?;
         Ok::<_, std::io::Error>((TcpListener::from_std(listener.try_clone()?)?, bound))
     };
-    let (adopted, bound) = until_works_blocking("listening socket", adopted)?;
+    let (adopted, bound) = retry_transient_blocking("listening socket", adopted)?;
     info!("listening on {bound}");
     Ok(adopted)
 }
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Map, Value};
 
-use crate::input::Retuned;
+use crate::input::ReloadedSettings;
 use crate::interface::Settings;
 
 use super::Config;
@@ -38,25 +38,29 @@
 impl Config {
     /// The settings that a process started with `start` applies at a reload: all but those on which its connections,
     /// its peers and the destination set were built.
-    pub fn retuned(&self, start: &Config) -> Retuned {
+    pub fn retuned(&self, start: &Config) -> ReloadedSettings {
         let fixed = start.settings.clone();
         let settings = Settings {
             kinds: fixed.kinds,
             senders: fixed.senders,
             connect_timeout: fixed.connect_timeout,
-            connection_idle: fixed.connection_idle,
+            idle_timeout: fixed.idle_timeout,
             probes: fixed.probes,
             listed_rates: fixed.listed_rates,
-            stewards: fixed.stewards,
+            coordinators: fixed.coordinators,
             shares: fixed.shares,
-            repeats: fixed.repeats,
-            ask_every: fixed.ask_every,
+            retry_budget: fixed.retry_budget,
+            list_request_interval: fixed.list_request_interval,
             zone_fee: fixed.zone_fee,
             // Descriptors were allotted by the initial number, so it can only be lowered.
             slots: self.settings.slots.min(fixed.slots),
             ..self.settings.clone()
         };
-        Retuned { settings, classes: self.names.classes().to_vec(), tenants: self.names.tenants().to_vec() }
+        ReloadedSettings {
+            settings,
+            classes: self.names.classes().to_vec(),
+            tenants: self.names.tenants().to_vec(),
+        }
     }
 
     /// Checks that this file, read while a process runs, is as complete as the one at the start. A key that is now
--- a/src/fleet/cutoffs.rs
+++ b/src/fleet/cutoffs.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use overload::waits::STEP;
+use overload::waits::STEP_US;
 use permits::steward::Queue;
 use serde_json::{Value, json};
 use tracing::info;
@@ -25,7 +25,7 @@
 /// The highest priority whose first message waits for [`MIN_CUTOFF_WAIT`], in thousandths, and that wait in seconds.
 fn cutoff(queue: &Queue) -> Option<(u16, f64)> {
     let levels = queue.waits.levels().iter();
-    let mut waiting_long = levels.map(|(priority, first, _)| (*priority, Micros::from(*first) * STEP));
+    let mut waiting_long = levels.map(|(priority, first, _)| (*priority, Micros::from(*first) * STEP_US));
     waiting_long
         .find(|(_, wait)| *wait >= MIN_CUTOFF_WAIT)
         .map(|(priority, wait)| (priority, wait as f64 / 1e6))
@@ -75,7 +75,7 @@
         .iter()
         .map(|(priority, n)| format!("{n} of {:.2}", f64::from(*priority) / 1000.0))
         .collect();
-    let seconds = |steps: u8| Micros::from(steps) as f64 * STEP as f64 / 1e6;
+    let seconds = |steps: u8| Micros::from(steps) as f64 * STEP_US as f64 / 1e6;
     let waits = queue.waits.levels().iter();
     let waits: Vec<String> = waits
         .map(|(priority, first, last)| {
--- a/src/fleet/updates.rs
+++ b/src/fleet/updates.rs
@@ -6,7 +6,7 @@
 use permits::note::Sign;
 use permits::steward::Report;
 
-use crate::interface::{DestinationId, Hearsay, Micros, Outcome, Word};
+use crate::interface::{DestinationId, DestinationObservation, Micros, ObservedCondition, Outcome};
 
 /// An update from the runtime.
 #[derive(Debug)]
@@ -33,7 +33,7 @@
 /// The update for the end of a call, with the limit report of its endpoint.
 pub fn call_ended(
     destination: i64, outcome: Outcome, (began, ended): (Micros, Micros),
-    limit_report: &crate::interface::Report,
+    limit_report: &crate::interface::LimitReport,
 ) -> FleetUpdate {
     let (observed, sign, wait) = match outcome {
         Outcome::Ok => (CallSignal::Success, Some(Sign::Well), None),
@@ -44,7 +44,7 @@
         }
         Outcome::Spoilt | Outcome::Cancelled | Outcome::Skipped => (CallSignal::Inconclusive, None, None),
     };
-    let (limit, left) = (limit_report.limit, limit_report.left);
+    let (limit, left) = (limit_report.limit, limit_report.remaining_fraction);
     let report = sign.map(|sign| Report { sign, began, wait, limit, left });
     FleetUpdate::CallEnded {
         destination,
@@ -56,12 +56,12 @@
 /// An observation as a report to the rules. A server-requested wait binds only the relay that received it, a pace and
 /// connections are each relay's own, and a limit arrives with the first answer anyway, while a wrong one would throttle a
 /// partner: these observations are only shown to operators and give `None`.
-pub(super) fn report_of(fact: &Observation) -> Option<Hearsay> {
+pub(super) fn report_of(fact: &Observation) -> Option<DestinationObservation> {
     let word = match fact.observed {
-        Observed::Failing { since, recovering_since: None, .. } => Word::Shut(since),
-        Observed::Failing { recovering_since, .. } => Word::Answers(recovering_since),
-        Observed::Healthy { .. } => Word::Answers(None),
-        Observed::AnswerTime { mean, .. } => Word::Took(mean),
+        Observed::Failing { since, recovering_since: None, .. } => ObservedCondition::Failing(since),
+        Observed::Failing { recovering_since, .. } => ObservedCondition::Answering(recovering_since),
+        Observed::Healthy { .. } => ObservedCondition::Answering(None),
+        Observed::AnswerTime { mean, .. } => ObservedCondition::ResponseTime(mean),
         Observed::Wait { .. }
         | Observed::Pace { .. }
         | Observed::Limit { .. }
@@ -69,5 +69,9 @@
             return None;
         }
     };
-    Some(Hearsay { destination: DestinationId(fact.destination), at: fact.at, word })
+    Some(DestinationObservation {
+        destination: DestinationId(fact.destination),
+        observed_at: fact.at,
+        condition: word,
+    })
 }
--- a/src/handover/link.rs
+++ b/src/handover/link.rs
@@ -13,7 +13,7 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio_util::codec::{Decoder, Encoder, Framed};
 
-use crate::exchange::{Answer, CallEnd, CallHeard, Exchange};
+use crate::exchange::{Answer, CallEnd, Exchange, ProvisionalDecision};
 use crate::handed::HandoverState;
 use crate::net::http::MOST_BODY;
 use crate::net::stream::Stream;
@@ -56,7 +56,7 @@
     /// From the old process: the client of a message left before it heard that the message was accepted.
     Withdrawn(String),
     /// From the old process: what was received so far on a call in flight there may end its message.
-    Heard(CallHeard),
+    Heard(ProvisionalDecision),
     /// From the old process: a call there has ended.
     Ended(CallEnd),
     /// From the new process: cancels the call of a message's attempt.
--- a/src/handover/new.rs
+++ b/src/handover/new.rs
@@ -20,8 +20,8 @@
 use crate::exchange::{CallEnd, Clock};
 use crate::handed::{CallInFlight, HandoverState};
 use crate::input::Input;
-use crate::interface::{Micros, Outcome, Report};
-use crate::retry::until_works;
+use crate::interface::{LimitReport, Micros, Outcome};
+use crate::retry::retry_transient;
 use crate::standing::ProcessStatus;
 use crate::store::{Mark, Owner, mark, own};
 
@@ -91,11 +91,11 @@
 }
 
 async fn own_when_possible(folder: &Path, status: &ProcessStatus) -> std::io::Result<Option<Owner>> {
-    until_works("state folder", status, async || own(folder)).await
+    retry_transient("state folder", status, async || own(folder)).await
 }
 
 async fn mark_when_possible(folder: &Path, status: &ProcessStatus) -> std::io::Result<Mark> {
-    until_works("state folder", status, async || mark(folder)).await
+    retry_transient("state folder", status, async || mark(folder)).await
 }
 
 async fn pause(clock: Clock) {
@@ -191,15 +191,15 @@
                         let _ = replies.send(Reply::Answer(number, answer));
                     }
                 });
-                Input::Handed(Arc::new(exchange), None, reply)
+                Input::Submitted(Arc::new(exchange), None, reply)
             }
             Some(Ok(LinkMessage::Ended(end))) => {
                 in_flight.remove(&(end.id.clone(), end.attempt));
-                Input::Ended(end)
+                Input::CallEnded(end)
             }
-            Some(Ok(LinkMessage::Heard(heard))) => Input::Heard(heard),
+            Some(Ok(LinkMessage::Heard(heard))) => Input::ProvisionalDecision(heard),
             Some(Ok(LinkMessage::Withdrawn(id))) => Input::Withdrawn(id),
-            Some(Ok(LinkMessage::Acknowledged(ids))) => Input::Acknowledged(ids),
+            Some(Ok(LinkMessage::Acknowledged(ids))) => Input::ReportsAcknowledged(ids),
             Some(Ok(LinkMessage::Clients(count))) => {
                 clients.store(client_limit(most_clients, count), Ordering::Relaxed);
                 continue;
@@ -218,20 +218,20 @@
     info!("the old process has gone; {} of its calls were still in flight", in_flight.len());
     clients.store(most_clients, Ordering::Relaxed);
     for ((id, attempt), CallInFlight { target, began, .. }) in in_flight {
-        let (report, evidence) = (Report::default(), Evidence::default());
+        let (report, evidence) = (LimitReport::default(), Evidence::default());
         let outcome = Outcome::Reset;
         let end = CallEnd {
             id,
             attempt,
             target,
             outcome,
-            verdict: outcome.verdict(),
+            decision: outcome.verdict(),
             began,
             answered: None,
             report,
             evidence,
         };
-        if inputs.send(Input::Ended(end)).await.is_err() {
+        if inputs.send(Input::CallEnded(end)).await.is_err() {
             return;
         }
     }
--- a/src/net/inbound.rs
+++ b/src/net/inbound.rs
@@ -20,10 +20,10 @@
 use super::http::{Budget, Codec, HttpError, IDEMPOTENCY_KEY, MOST_BODY, Message, Start};
 use super::quiet;
 use super::stream::Stream;
-use crate::draw;
 use crate::exchange::{Answer, Clock, Exchange, IdempotencyKey, IdempotencyKeyError};
 use crate::input::Input;
 use crate::interface::{Class, Effect, Micros};
+use crate::jitter;
 use crate::standing::{DrainMode, ProcessStatus};
 
 const UNKNOWN_CLASS: &str = "unknown class";
@@ -290,7 +290,7 @@
     // Each has a moment of its own, so that clients do not all come to the others at once.
     let leaves_by = |leaving: DrainMode| match leaving {
         DrainMode::Since(at) => {
-            let part = draw::unit(place.number as u64 ^ at.unsigned_abs());
+            let part = jitter::uniform(place.number as u64 ^ at.unsigned_abs());
             let by = at + LEAVE_AFTER + (part * LEAVE_OVER as f64) as Micros;
             if accepted < at { by } else { by.max(accepted + LEAVE_NEW) }
         }
@@ -456,13 +456,13 @@
 async fn hand_in(exchange: Exchange, inbound: &Inbound) -> (Message, Option<String>) {
     let id = exchange.id.clone();
     let (reply, answer) = oneshot::channel();
-    if inbound.inputs.send(Input::Handed(Arc::new(exchange), None, reply)).await.is_err() {
+    if inbound.inputs.send(Input::Submitted(Arc::new(exchange), None, reply)).await.is_err() {
         return (Message::response(503, "stopped"), None);
     }
     match answer.await {
-        Ok(Answer::Taken) => (Message::response(202, ""), Some(id)),
+        Ok(Answer::Accepted) => (Message::response(202, ""), Some(id)),
         // Whoever hands in what is held already must not withdraw it by going away.
-        Ok(Answer::TakenBefore) => (Message::response(202, ""), None),
+        Ok(Answer::AlreadyAccepted) => (Message::response(202, ""), None),
         Ok(Answer::Refused(why, after)) => {
             debug!(message = id, why = &*why, after, "refused");
             let answer = Message::response(503, why.into_owned());
@@ -472,7 +472,7 @@
             };
             (answer, None)
         }
-        Ok(Answer::Unknown) => (Message::response(404, UNKNOWN_CLASS), None),
+        Ok(Answer::UnknownClass) => (Message::response(404, UNKNOWN_CLASS), None),
         Ok(Answer::Failed(why)) => {
             debug!(message = id, why = &*why, "failed at once");
             (Message::response(500, why.into_owned()), None)
--- a/src/net/outbound.rs
+++ b/src/net/outbound.rs
@@ -6,16 +6,16 @@
 use record::model::Expected;
 use tokio::sync::{mpsc, oneshot};
 use tracing::debug;
-use verdict::{After, Verdict};
+use verdict::{Decision, Settlement};
 
 use super::Protocol;
 use super::clearance::Clearance;
 use super::connections::{Connections, full};
 use super::http::{Message, Start};
 use super::progress::Progress;
-use crate::exchange::{Answered, CallEnd, Clock, Exchange, OutboundCall};
+use crate::exchange::{CallEnd, Clock, Exchange, OutboundCall, ProvisionalAnswer};
 use crate::input::Input;
-use crate::interface::{Micros, Outcome, Report, TargetId};
+use crate::interface::{LimitReport, Micros, Outcome, TargetId};
 use crate::runtime::Caller;
 
 /// A report with a greater figure makes no sense.
@@ -46,35 +46,35 @@
             Some(beside) => self.attempt_beside(&*beside, &call, called_off).await,
             None => self.attempt(&call, began, called_off).await,
         };
-        let Ended { outcome, verdict, report, progress } = ended;
+        let Ended { outcome, decision, report, progress } = ended;
         // Between here and the runtime's hearing of it nothing else is told, so that no call that the module decides on
         // knowing less finds this wait in its way again and again.
         if let Some(wait) = progress.wait {
-            self.connections.clearance().wait(call.lane, self.clock.now() + wait);
+            self.connections.clearance().wait(call.path, self.clock.now() + wait);
         }
-        let report = Report { wait: progress.wait, ..report };
+        let report = LimitReport { requested_wait: progress.wait, ..report };
         let (id, attempt, target) = (call.exchange.id.clone(), call.attempt, call.target);
-        self.connections.counts().count_decision(verdict);
+        self.connections.counts().count_decision(decision);
         debug!(
             message = id,
             attempt,
             destination = call.exchange.destination,
             endpoint = &*call.address,
             ?outcome,
-            verdict = verdict.word(),
+            verdict = decision.label(),
             status = progress.first,
             heard = ?progress.heard,
             began,
             connection = progress.connection,
             calls_before = progress.calls_before,
             rested = progress.rested,
-            left = report.left,
+            left = report.remaining_fraction,
             limit = report.limit,
             "attempt ended"
         );
         let (answered, evidence) = (progress.answered, progress.evidence());
-        let end = CallEnd { id, attempt, target, outcome, verdict, began, answered, report, evidence };
-        let _ = self.inputs.send(Input::Ended(end)).await;
+        let end = CallEnd { id, attempt, target, outcome, decision, began, answered, report, evidence };
+        let _ = self.inputs.send(Input::CallEnded(end)).await;
     }
 
     /// An attempt by the protocol beside the platform's, whose receipts alone prove a delivery.
@@ -92,10 +92,10 @@
         let outcome = match outcome {
             Outcome::Ok | Outcome::Skipped => outcome,
             // What was not written to its last byte never ran, however it ended.
-            _ if !progress.heard.written => Outcome::ConnectFailed,
+            _ if !progress.heard.request_written => Outcome::ConnectFailed,
             outcome => outcome,
         };
-        Ended { outcome, verdict: outcome.verdict(), report: Report::default(), progress }
+        Ended { outcome, decision: outcome.verdict(), report: LimitReport::default(), progress }
     }
 
     async fn attempt(&self, call: &OutboundCall, began: Micros, called_off: oneshot::Receiver<()>) -> Ended {
@@ -110,7 +110,7 @@
                 Err(outcome) => return Ended::without_answer(outcome, progress),
             };
         let heard_at = answered.at();
-        let settles = progress.heard.settles();
+        let settles = progress.heard.needs_settling();
         let released = match self.connections.release(&answered, &progress) {
             Some(released) => {
                 progress.announce().await;
@@ -141,8 +141,9 @@
     async fn answered(&self, call: &OutboundCall, answer: &Message, (began, heard): (Micros, Micros)) {
         let outcome = read(answer, false, 0);
         let (id, attempt, target) = (call.exchange.id.clone(), call.attempt, call.target);
-        let answered = Answered { id, attempt, target, outcome, began, at: heard, report: reported(answer) };
-        let _ = self.inputs.send(Input::Answered(answered)).await;
+        let answered =
+            ProvisionalAnswer { id, attempt, target, outcome, began, at: heard, report: reported(answer) };
+        let _ = self.inputs.send(Input::ProvisionalAnswer(answered)).await;
     }
 }
 
@@ -156,34 +157,36 @@
 /// How an attempt ended.
 struct Ended {
     outcome: Outcome,
-    verdict: Verdict,
-    report: Report,
+    decision: Decision,
+    report: LimitReport,
     progress: Progress,
 }
 
 impl Ended {
     /// With no whole answer.
     fn without_answer(outcome: Outcome, progress: Progress) -> Self {
-        let verdict = progress.heard.verdict();
-        let outcome = match (outcome, verdict) {
-            (_, Verdict::Delivered) => Outcome::Ok,
-            (_, Verdict::Over | Verdict::Spent { .. }) | (Outcome::Skipped, _) => Outcome::Skipped,
-            (_, Verdict::MayHaveEnded) => Outcome::Spoilt,
+        let decision = progress.heard.decision();
+        let outcome = match (outcome, decision) {
+            (_, Decision::Delivered) => Outcome::Ok,
+            (_, Decision::EndedElsewhere | Decision::AttemptsExhausted { .. }) | (Outcome::Skipped, _) => {
+                Outcome::Skipped
+            }
+            (_, Decision::MayHaveEnded) => Outcome::Spoilt,
             // What was not written to its last byte never ran, however it ended.
-            _ if !progress.heard.written => Outcome::ConnectFailed,
-            (outcome, Verdict::Owed { .. }) => outcome,
+            _ if !progress.heard.request_written => Outcome::ConnectFailed,
+            (outcome, Decision::Pending { .. }) => outcome,
         };
-        Ended { outcome, verdict, report: Report::default(), progress }
+        Ended { outcome, decision, report: LimitReport::default(), progress }
     }
 
     /// By an answer that came so long ago.
     fn by_answer(answer: &Message, age: Micros, progress: Progress) -> Self {
-        let verdict = progress.heard.verdict();
-        if progress.heard.after == After::Surplus || verdict == Verdict::MayHaveEnded {
-            return Ended { outcome: Outcome::Spoilt, verdict, report: Report::default(), progress };
+        let decision = progress.heard.decision();
+        if progress.heard.settlement == Settlement::UnsolicitedData || decision == Decision::MayHaveEnded {
+            return Ended { outcome: Outcome::Spoilt, decision, report: LimitReport::default(), progress };
         }
         let outcome = read(answer, progress.opened, age);
-        Ended { outcome, verdict, report: reported(answer), progress }
+        Ended { outcome, decision, report: reported(answer), progress }
     }
 }
 
@@ -224,19 +227,19 @@
 }
 
 /// What an answer tells of the limit.
-fn reported(answer: &Message) -> Report {
+fn reported(answer: &Message) -> LimitReport {
     report(answer.header("X-Backend-Load").unwrap_or_default())
 }
 
 /// What an answer tells of the limit; one that cannot be read in full tells nothing.
-fn report(text: &str) -> Report {
+fn report(text: &str) -> LimitReport {
     let read = |text: &str| {
-        let mut report = Report::default();
+        let mut report = LimitReport::default();
         for pair in text.split(',') {
             let (name, value) = pair.trim().split_once('=')?;
             let value = value.parse::<f64>().ok().filter(|value| (0.0..=MOST_REPORTED).contains(value))?;
             match name {
-                "x0" => report.left = Some(value),
+                "x0" => report.remaining_fraction = Some(value),
                 "x1" => report.limit = Some(value),
                 _ => {}
             }
@@ -253,11 +256,11 @@
     #[test]
     fn a_report_that_makes_no_sense_tells_nothing() {
         let told = report("x0=0.4, x1=25");
-        assert_eq!((told.left, told.limit), (Some(0.4), Some(25.0)));
+        assert_eq!((told.remaining_fraction, told.limit), (Some(0.4), Some(25.0)));
         for text in
             ["", "x1", "x1=", "x1=many", "x1=NaN", "x1=-4", "x1=inf", "x1=1e300", "x0=0.4,x1=25,x1=?", "=,="]
         {
-            assert_eq!(report(text), Report::default(), "{text:?}");
+            assert_eq!(report(text), LimitReport::default(), "{text:?}");
         }
     }
 
--- a/src/runtime/actions.rs
+++ b/src/runtime/actions.rs
@@ -28,30 +28,32 @@
 
     fn carry_out_one(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send { id, target, timeout, by } => self.send(id, target, (by, now + timeout)),
+            Action::Send { id, target, timeout, send_by } => self.send(id, target, (send_by, now + timeout)),
             Action::Cancel { id, attempt } => self.effects.push(Effect::Cancel(id, attempt)),
-            Action::Refuse { id, after } => self.give_up(id, true, after),
+            Action::Refuse { id, retry_after } => self.give_up(id, true, retry_after),
             Action::Fail(id) => self.give_up(id, false, None),
-            Action::Timer { token, after } => drop(self.timers.insert((now + after, token))),
-            Action::Close(target) => self.effects.push(Effect::Close(target)),
-            Action::Want { destination, tiers } => {
-                self.notify_fleet(FleetUpdate::RequestGrants(destination.0, tiers))
+            Action::SetTimer { token, after } => drop(self.timers.insert((now + after, token))),
+            Action::CloseIdle(target) => self.effects.push(Effect::Close(target)),
+            Action::RequestGrants { destination, waiting } => {
+                self.notify_fleet(FleetUpdate::RequestGrants(destination.0, waiting))
             }
-            Action::WantRepeats { destination, tiers } => {
-                self.notify_fleet(FleetUpdate::RequestRetryTokens(destination.0, tiers));
+            Action::RequestRetryTokens { destination, waiting } => {
+                self.notify_fleet(FleetUpdate::RequestRetryTokens(destination.0, waiting));
             }
             // The platform's settings permit no probes, and the list is always watched.
-            Action::Probe(_) | Action::Watch => {}
+            Action::Probe(_) | Action::SubscribeList => {}
         }
     }
 
     /// Starts the next attempt of a message, with the latest time to start and the deadline of the call.
     fn send(&mut self, id: MessageId, target: TargetId, (start_by, deadline): (Micros, Micros)) {
-        let Some(lane) = self.relay.lane(target) else { return };
+        let Some(path) = self.relay.send_path(target) else { return };
         let Some(held) = self.held.get_mut(&id) else { return };
         let Some(address) = self.addresses.get(&target).cloned() else { return };
-        let effect =
-            self.classes.terms(held.class).map_or(crate::interface::Effect::Unsafe, |terms| terms.effect);
+        let effect = self
+            .classes
+            .parameters(held.class)
+            .map_or(crate::interface::Effect::NonIdempotent, |terms| terms.effect);
         let attempt = held.attempts;
         let exchange = held.exchange.clone();
         held.attempts += 1;
@@ -62,7 +64,7 @@
             Begun { at, endpoint }
         });
         // A first attempt earns a fraction of a retry token for the fleet.
-        if attempt == 0 && self.settings.repeats {
+        if attempt == 0 && self.settings.retry_budget {
             self.notify_fleet(FleetUpdate::FirstAttempt(exchange.destination));
         }
         // With the feature, the attempt is not recorded before it starts: a fault that the proofs have to detect.
@@ -70,7 +72,7 @@
             self.records.push(Record::Started { id: exchange.id.clone(), attempt, begun });
         }
         debug!(message = exchange.id, attempt, endpoint = &*address, start_by, deadline, "attempt decided");
-        let call = OutboundCall { exchange, attempt, target, address, lane, effect, start_by, deadline };
+        let call = OutboundCall { exchange, attempt, target, address, path, effect, start_by, deadline };
         self.effects.push(Effect::Call(id, call));
     }
 }
--- a/src/runtime/handover.rs
+++ b/src/runtime/handover.rs
@@ -7,8 +7,8 @@
 use tokio::sync::oneshot;
 
 use crate::handed::{CallInFlight, HandoverState, HeldMessage, Offer, RemainingCalls};
-use crate::input::Retuned;
-use crate::interface::{Event, Verdict};
+use crate::input::ReloadedSettings;
+use crate::interface::{Decision, Event};
 use crate::standing::Phase;
 use crate::store::{Replay, StoreError, Stored};
 
@@ -70,7 +70,7 @@
         let held = self.adopt_state(handed);
         self.resend(replay.notices);
         let by_id = |stored: Stored| (stored.id.clone(), stored);
-        let mut heard: HashMap<String, (Stored, Verdict)> = replay
+        let mut heard: HashMap<String, (Stored, Decision)> = replay
             .heard
             .into_iter()
             .map(|(stored, verdict)| (stored.id.clone(), (stored, verdict)))
@@ -98,8 +98,8 @@
     }
 
     /// The settings with which this process was started.
-    fn own_settings(&self) -> Retuned {
-        Retuned {
+    fn own_settings(&self) -> ReloadedSettings {
+        ReloadedSettings {
             settings: self.settings.clone(),
             classes: self.names.classes().to_vec(),
             tenants: self.names.tenants().to_vec(),
@@ -130,7 +130,7 @@
 
     /// Holds a message of the other process; returns its call in flight, if there is one.
     fn adopt_message(
-        &mut self, message: HeldMessage, stored: Stored, heard: Option<Verdict>,
+        &mut self, message: HeldMessage, stored: Stored, heard: Option<Decision>,
     ) -> Option<(CallInFlight, oneshot::Receiver<()>)> {
         let HeldMessage { message, mut exchange, class, attempts, withdrawn, in_flight } = message;
         exchange.body = stored.body;
@@ -163,7 +163,7 @@
     }
 
     fn drop_message(&mut self, message: &HeldMessage) {
-        self.classes.release(message.class);
-        self.handle(Event::Gone(message.message));
+        self.classes.remove_message(message.class);
+        self.handle(Event::Withdrawn(message.message));
     }
 }
--- a/src/runtime/held.rs
+++ b/src/runtime/held.rs
@@ -8,7 +8,7 @@
 
 use crate::exchange::Exchange;
 use crate::handed::{CallInFlight, HeldMessage};
-use crate::interface::{MessageId, Micros, TargetId, Verdict};
+use crate::interface::{Decision, MessageId, Micros, TargetId};
 
 /// Time for which the id of an ended message is remembered, in microseconds.
 const ENDED_RETENTION: Micros = 15_000_000;
@@ -28,7 +28,7 @@
     /// Whether the call in flight was answered, and its end is still to come.
     pub(super) answered: bool,
     /// The decision by what was received so far on the call in flight, if it may end the message.
-    pub(super) heard: Option<Verdict>,
+    pub(super) heard: Option<Decision>,
     /// Number of the message's class.
     pub(super) class: usize,
     /// Whether its client left before it heard that the message was accepted.
--- a/src/runtime/outage.rs
+++ b/src/runtime/outage.rs
@@ -94,7 +94,7 @@
     /// The answer to messages that are submitted while the store is unavailable.
     pub(super) fn refused_by_store(&self) -> Option<Answer> {
         self.outage.as_ref()?;
-        let advice = self.settings.longest_advice.map_or(MAX_RETRY, |most| most.min(MAX_RETRY));
+        let advice = self.settings.max_retry_after.map_or(MAX_RETRY, |most| most.min(MAX_RETRY));
         Some(Answer::Refused(UNAVAILABLE.into(), Some(advice)))
     }
 
@@ -124,8 +124,8 @@
         for effect in waiting {
             match effect {
                 Effect::Answer(reply) => match reply.answer {
-                    Answer::Taken => refused.push(reply),
-                    Answer::TakenBefore if refused.iter().any(|other| other.message == reply.message) => {
+                    Answer::Accepted => refused.push(reply),
+                    Answer::AlreadyAccepted if refused.iter().any(|other| other.message == reply.message) => {
                         refused.push(reply);
                     }
                     _ => self.release(Effect::Answer(reply)),
@@ -148,7 +148,7 @@
     /// Refuses a message whose acceptance is not stored, and drops the decisions about it.
     fn refuse_unstored(&mut self, reply: Reply) {
         let Reply { to, message, receipt, answer } = reply;
-        if answer == Answer::Taken {
+        if answer == Answer::Accepted {
             self.drop_unstored(&message, receipt.as_deref());
         }
         if let Some(answer) = self.refused_by_store() {
@@ -182,10 +182,19 @@
         match call {
             Some(call) => {
                 let OutboundCall { attempt, target, .. } = call;
-                let (outcome, verdict, report) = (Outcome::Skipped, Verdict::Over, Report::default());
-                self.handle(Event::Done(Done { id, attempt, target, outcome, took: 0, verdict, report }));
+                let (outcome, verdict, report) =
+                    (Outcome::Skipped, Decision::EndedElsewhere, LimitReport::default());
+                self.handle(Event::AttemptEnded(AttemptResult {
+                    id,
+                    attempt,
+                    target,
+                    outcome,
+                    elapsed: 0,
+                    decision: verdict,
+                    report,
+                }));
             }
-            None => self.handle(Event::Gone(id)),
+            None => self.handle(Event::Withdrawn(id)),
         }
     }
 
@@ -194,14 +203,14 @@
         let (id, attempt, target) = (call.exchange.id.clone(), call.attempt, call.target);
         // `call_ended` decrements the number of calls in flight, which did not include this one.
         self.in_flight += 1;
-        let (began, report, evidence) = (self.clock.now(), Report::default(), Evidence::default());
+        let (began, report, evidence) = (self.clock.now(), LimitReport::default(), Evidence::default());
         let outcome = Outcome::Skipped;
         let end = CallEnd {
             id: id.clone(),
             attempt,
             target,
             outcome,
-            verdict: outcome.verdict(),
+            decision: outcome.verdict(),
             began,
             answered: None,
             report,
--- a/src/runtime/outcomes.rs
+++ b/src/runtime/outcomes.rs
@@ -3,7 +3,7 @@
 use record::model::{Effect as RecordedEffect, Entry, Late, Outcome as RecordedOutcome, Trace};
 use tracing::debug;
 
-use crate::exchange::{Answered, CallEnd, CallHeard, Exchange, Notice};
+use crate::exchange::{CallEnd, Exchange, NonDeliveryReport, ProvisionalAnswer, ProvisionalDecision};
 use crate::fleet;
 use crate::interface::*;
 use crate::recording::attempt_end;
@@ -21,8 +21,8 @@
         let Some(held) = self.held.get_mut(&id) else { return };
         (held.cancel, held.in_flight) = (None, None);
         // The end may carry less than was received before, for example after the link to another process broke.
-        if let Some(heard) = held.heard.take().filter(|_| end.verdict.owed()) {
-            end.verdict = heard;
+        if let Some(heard) = held.heard.take().filter(|_| end.decision.is_pending()) {
+            end.decision = heard;
         }
         // The fleet was notified of an answer when it arrived.
         if let Some(fleet) = self.fleet.as_ref().filter(|_| !std::mem::take(&mut held.answered)) {
@@ -30,59 +30,66 @@
             let _ = fleet.send(fleet::call_ended(destination, end.outcome, times, &end.report));
         }
         let recorded = held.trace.as_mut().map(|trace| {
-            let recorded = attempt_end(now, end.outcome, end.verdict, end.evidence);
+            let recorded = attempt_end(now, end.outcome, end.decision, end.evidence);
             trace.ended(end.attempt, now, &recorded.result, recorded.effect, recorded.evidence.clone());
             recorded
         });
         let withdrawn = held.withdrawn;
-        if end.verdict.ended() || withdrawn {
-            let delivered = end.verdict == Verdict::Delivered && !withdrawn;
+        if end.decision.is_ended() || withdrawn {
+            let delivered = end.decision == Decision::Delivered && !withdrawn;
             let outcome = if delivered { RecordedOutcome::Delivered } else { RecordedOutcome::Withdrawn };
             self.finish(id, outcome, None);
         } else {
-            let may_have_run = end.verdict.may_have_run();
+            let may_have_run = end.decision.may_have_run();
             let (id, attempt) = (end.id, end.attempt);
             self.records.push(Record::Outcome { id, attempt, may_have_run, heard: recorded });
         }
         let took = end.answered.unwrap_or_else(|| self.clock.now()) - end.began;
-        let CallEnd { attempt, target, outcome, mut verdict, report, .. } = end;
+        let CallEnd { attempt, target, outcome, mut decision, report, .. } = end;
         if withdrawn {
-            verdict = Verdict::Over;
+            decision = Decision::EndedElsewhere;
         }
-        let done = Done { id, attempt, target, outcome, took, verdict, report };
+        let done = AttemptResult { id, attempt, target, outcome, elapsed: took, decision, report };
         self.hold_back(&done, now);
-        self.handle(Event::Done(done));
+        self.handle(Event::AttemptEnded(done));
     }
 
     /// Stores a decision by what was received so far on a call in flight, which may end its message.
-    pub(super) fn call_heard(&mut self, heard: CallHeard) {
-        let CallHeard { id, attempt, verdict } = heard;
+    pub(super) fn call_heard(&mut self, heard: ProvisionalDecision) {
+        let ProvisionalDecision { id, attempt, decision } = heard;
         let held = self.ids.get(&id).and_then(|message| self.held.get_mut(message));
         let Some(held) = held.filter(|held| held.in_flight.is_some() && held.attempts == attempt + 1) else {
             return;
         };
-        held.heard = Some(verdict);
-        debug!(message = id, attempt, verdict = verdict.word(), "heard");
-        self.records.push(Record::Heard { id, attempt, verdict });
+        held.heard = Some(decision);
+        debug!(message = id, attempt, verdict = decision.label(), "heard");
+        self.records.push(Record::Heard { id, attempt, verdict: decision });
     }
 
     /// Processes the answer to a call. The decision about its message follows with the end of the call.
-    pub(super) fn call_answered(&mut self, answered: Answered) {
+    pub(super) fn call_answered(&mut self, answered: ProvisionalAnswer) {
         let Some(id) = self.ids.get(&answered.id).copied() else { return };
         let Some(held) = self.held.get_mut(&id) else { return };
         held.answered = true;
         let destination = held.exchange.destination;
-        let Answered { attempt, target, outcome, began, at, report, .. } = answered;
+        let ProvisionalAnswer { attempt, target, outcome, began, at, report, .. } = answered;
         self.notify_fleet(fleet::call_ended(destination, outcome, (began, at), &report));
-        let done =
-            Done { id, attempt, target, outcome, took: at - began, verdict: outcome.verdict(), report };
+        let done = AttemptResult {
+            id,
+            attempt,
+            target,
+            outcome,
+            elapsed: at - began,
+            decision: outcome.verdict(),
+            report,
+        };
         self.hold_back(&done, self.clock.now());
-        self.handle(Event::Answered(done));
+        self.handle(Event::AttemptAnswered(done));
     }
 
     /// Records the end of a call whose message has ended already, if the call took effect.
     fn record_late_end(&mut self, end: CallEnd, now: Micros) {
-        if end.verdict == Verdict::Delivered {
+        if end.decision == Decision::Delivered {
             self.record_late(Late {
                 id: end.id,
                 at: now,
@@ -97,8 +104,8 @@
 
     /// Holds back calls that are not sent yet, if an answer requests a wait. This includes answers that another process
     /// received.
-    fn hold_back(&self, done: &Done, now: Micros) {
-        if let (Some(wait), Some(lane)) = (done.told_wait(), self.relay.lane(done.target)) {
+    fn hold_back(&self, done: &AttemptResult, now: Micros) {
+        if let (Some(wait), Some(lane)) = (done.requested_wait(), self.relay.send_path(done.target)) {
             self.caller.clearance().wait(lane, now + wait);
         }
     }
@@ -108,11 +115,13 @@
         let Some(name) = self.held.get(&id).map(|held| held.exchange.id.clone()) else { return };
         let retry_in_ms = after.and_then(|after| u64::try_from(after / 1000).ok());
         let outcome = if handed_back { RecordedOutcome::Refused } else { RecordedOutcome::Failed };
-        self.finish(id, outcome, Some(Notice { id: name, handed_back, retry_in_ms }));
+        self.finish(id, outcome, Some(NonDeliveryReport { id: name, handed_back, retry_in_ms }));
     }
 
     /// Ends a message held.
-    pub(super) fn finish(&mut self, id: MessageId, outcome: RecordedOutcome, notice: Option<Notice>) {
+    pub(super) fn finish(
+        &mut self, id: MessageId, outcome: RecordedOutcome, notice: Option<NonDeliveryReport>,
+    ) {
         // Read before the message is released, which may drop its terms.
         let non_idempotent = self.held.get(&id).is_none_or(|held| self.is_non_idempotent(held.class));
         let Some(held) = self.forget(id) else { return };
@@ -121,7 +130,9 @@
 
     /// Whether messages of a class are non-idempotent.
     fn is_non_idempotent(&self, class: usize) -> bool {
-        self.classes.terms(class).is_none_or(|terms| terms.effect == crate::interface::Effect::Unsafe)
+        self.classes
+            .parameters(class)
+            .is_none_or(|terms| terms.effect == crate::interface::Effect::NonIdempotent)
     }
 
     /// Releases a message.
@@ -129,7 +140,7 @@
         let held = self.held.remove(&id)?;
         self.ids.remove(&held.exchange.id);
         self.held_bytes -= held.exchange.body.len();
-        if self.classes.release(held.class) {
+        if self.classes.remove_message(held.class) {
             self.terms_released = true;
         }
         Some(held)
@@ -138,7 +149,7 @@
     /// Stores the end of a message, reports a non-delivery and records the message's history.
     pub(super) fn end_message(
         &mut self, (exchange, trace, outcome): (&Exchange, Option<Trace>, RecordedOutcome),
-        non_idempotent: bool, notice: Option<Notice>,
+        non_idempotent: bool, notice: Option<NonDeliveryReport>,
     ) {
         let (now, id) = (self.clock.now(), exchange.id.clone());
         let attempts = trace.as_ref().map(|trace| trace.attempts.len());
--- a/src/standing.rs
+++ b/src/standing.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use tokio::sync::watch;
-use verdict::Verdict;
+use verdict::Decision;
 
 use crate::exchange::Clock;
 use crate::interface::Micros;
@@ -86,14 +86,14 @@
 
 impl ConnectionCounts {
     /// Counts the decision about an attempt.
-    pub fn count_decision(&self, verdict: Verdict) {
+    pub fn count_decision(&self, verdict: Decision) {
         let DecisionCounts { delivered, ended_elsewhere, may_have_ended, exhausted, owed } = &self.decisions;
         Self::add(match verdict {
-            Verdict::Delivered => delivered,
-            Verdict::Over => ended_elsewhere,
-            Verdict::MayHaveEnded => may_have_ended,
-            Verdict::Spent { .. } => exhausted,
-            Verdict::Owed { .. } => owed,
+            Decision::Delivered => delivered,
+            Decision::EndedElsewhere => ended_elsewhere,
+            Decision::MayHaveEnded => may_have_ended,
+            Decision::AttemptsExhausted { .. } => exhausted,
+            Decision::Pending { .. } => owed,
         });
     }
 
--- a/src/store/book.rs
+++ b/src/store/book.rs
@@ -6,21 +6,21 @@
 use bytes::Bytes;
 
 use super::{Heard, Record, Replay, Stored};
-use crate::exchange::{Notice, Receipt};
-use crate::interface::{Micros, Verdict};
+use crate::exchange::{NonDeliveryReport, Receipt};
+use crate::interface::{Decision, Micros};
 
 /// State of one message, folded from its records.
 #[derive(Clone, Debug)]
 pub(super) struct Live {
     pub(super) seq: u64,
     message: Option<Stored>,
-    notice: Option<Notice>,
+    notice: Option<NonDeliveryReport>,
     receipt: Option<Receipt>,
     entry: Option<(u64, Bytes)>,
     /// An attempt is out.
     open: bool,
     /// What was heard of it, if it may end the message, and which attempt it is.
-    heard: Option<(u32, Verdict)>,
+    heard: Option<(u32, Decision)>,
     /// Where the record lies from which the state can be rebuilt, and its size there.
     pub(super) segment: u64,
     pub(super) size: u64,
