--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -219,7 +219,7 @@
             report,
             evidence,
         } = end;
-        let decision = decision.unwrap_or(if ended { Decision::EndedElsewhere } else { outcome.verdict() });
+        let decision = decision.unwrap_or(if ended { Decision::EndedElsewhere } else { outcome.decision() });
         CallEnd { id, attempt, target, outcome, decision, began, answered, report, evidence }
     }
 }
--- a/src/handover/new.rs
+++ b/src/handover/new.rs
@@ -225,7 +225,7 @@
             attempt,
             target,
             outcome,
-            decision: outcome.verdict(),
+            decision: outcome.decision(),
             began,
             answered: None,
             report,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -369,7 +369,7 @@
     }
 
     /// Returns the decision for the message where nothing else is known about the attempt.
-    pub fn verdict(self) -> Decision {
+    pub fn decision(self) -> Decision {
         match self {
             Outcome::Ok => Decision::Delivered,
             outcome => Decision::Pending { may_have_run: outcome.may_have_run() },
--- a/src/net/outbound.rs
+++ b/src/net/outbound.rs
@@ -95,7 +95,7 @@
             _ if !progress.heard.request_written => Outcome::ConnectFailed,
             outcome => outcome,
         };
-        Ended { outcome, decision: outcome.verdict(), report: LimitReport::default(), progress }
+        Ended { outcome, decision: outcome.decision(), report: LimitReport::default(), progress }
     }
 
     async fn attempt(&self, call: &OutboundCall, began: Micros, called_off: oneshot::Receiver<()>) -> Ended {
--- a/src/runtime/outage.rs
+++ b/src/runtime/outage.rs
@@ -210,7 +210,7 @@
             attempt,
             target,
             outcome,
-            decision: outcome.verdict(),
+            decision: outcome.decision(),
             began,
             answered: None,
             report,
--- a/src/runtime/outcomes.rs
+++ b/src/runtime/outcomes.rs
@@ -80,7 +80,7 @@
             target,
             outcome,
             elapsed: at - began,
-            decision: outcome.verdict(),
+            decision: outcome.decision(),
             report,
         };
         self.hold_back(&done, self.clock.now());
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -442,7 +442,7 @@
                     state.2 = state.2.saturating_sub(1);
                 }
                 self.settle(id);
-                let verdict = if over { Decision::EndedElsewhere } else { outcome.verdict() };
+                let verdict = if over { Decision::EndedElsewhere } else { outcome.decision() };
                 Ok(Some(Event::AttemptEnded(AttemptResult {
                     id,
                     attempt,
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -421,7 +421,7 @@
         let inputs = attempt_inputs(&mut call_side).await;
         assert_eq!((inputs.answered, inputs.end.outcome), (Some(expected), expected));
         assert_eq!(inputs.decision, (expected == Outcome::Ok).then_some(Decision::Delivered));
-        assert_eq!(inputs.end.decision, expected.verdict());
+        assert_eq!(inputs.end.decision, expected.decision());
         assert!(call_side.clock.now() - began >= MIN_QUIET_US, "the connection was watched");
     }
 }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -156,12 +156,12 @@
 
     /// Ends the latest attempt of a message with an outcome.
     pub fn complete(&mut self, id: u64, target: u32, outcome: Outcome) -> Vec<Action> {
-        self.complete_with(id, target, outcome, outcome.verdict())
+        self.complete_with(id, target, outcome, outcome.decision())
     }
 
-    /// Ends the latest attempt of a message with a verdict that differs from that of its outcome.
+    /// Ends the latest attempt of a message with a decision that differs from that of its outcome.
     pub fn complete_with(
-        &mut self, id: u64, target: u32, outcome: Outcome, verdict: Decision,
+        &mut self, id: u64, target: u32, outcome: Outcome, decision: Decision,
     ) -> Vec<Action> {
         let attempt = self.attempts.get(&id).copied().unwrap_or(1) - 1;
         self.event(Event::AttemptEnded(AttemptResult {
@@ -170,7 +170,7 @@
             target: TargetId(target),
             outcome,
             elapsed: 100 * MS,
-            decision: verdict,
+            decision,
             report: LimitReport::default(),
         }))
     }
--- a/tests/link.rs
+++ b/tests/link.rs
@@ -86,7 +86,7 @@
         attempt: 0,
         target: TargetId(1),
         outcome,
-        decision: outcome.verdict(),
+        decision: outcome.decision(),
         began,
         answered: None,
         report,
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -164,7 +164,7 @@
         target: TargetId(1),
         outcome: Outcome::Full(None),
         elapsed: MS,
-        decision: Outcome::Full(None).verdict(),
+        decision: Outcome::Full(None).decision(),
         report,
     }));
     assert_eq!(
--- a/tests/outage.rs
+++ b/tests/outage.rs
@@ -164,7 +164,7 @@
             attempt: call.attempt,
             target: call.target,
             outcome,
-            decision: outcome.verdict(),
+            decision: outcome.decision(),
             began: self.clock.now(),
             answered: None,
             report: LimitReport::default(),
--- a/tests/trouble.rs
+++ b/tests/trouble.rs
@@ -95,7 +95,7 @@
                 target: TargetId(1),
                 outcome,
                 elapsed: MS,
-                decision: outcome.verdict(),
+                decision: outcome.decision(),
                 report,
             };
             harness.event(Event::AttemptEnded(done));
@@ -287,7 +287,7 @@
             target,
             outcome,
             elapsed: 4 * S,
-            decision: outcome.verdict(),
+            decision: outcome.decision(),
             report,
         })
     };
