--- a/src/wire.rs
+++ b/src/wire.rs
@@ -447,7 +447,7 @@
                     state.2 = state.2.saturating_sub(1);
                 }
                 self.forget_if_unused(id);
-                let verdict = if over { Decision::EndedElsewhere } else { outcome.verdict() };
+                let verdict = if over { Decision::EndedElsewhere } else { outcome.decision() };
                 Ok(Some(Event::AttemptEnded(AttemptResult {
                     id,
                     attempt,
