--- a/src/as2.rs
+++ b/src/as2.rs
@@ -22,13 +22,13 @@
 use crate::exchange::{Answer, Clock, Exchange, OutboundCall, Receipt};
 use crate::input::Input;
 use crate::interface::{Micros, Outcome};
-use crate::net::connections::{Connections, full};
-use crate::net::http::{MOST_BODY, Message, Start};
+use crate::net::connections::{Connections, retry_after};
+use crate::net::http::{MAX_BODY_BYTES, Message, Start};
 use crate::net::progress::Progress;
-use crate::net::{Doing, Protocol};
+use crate::net::{BoxFuture, PartnerProtocol};
 
 /// An AS2 message may have so many bytes: a body, its signature and the frame around both.
-const MOST_MESSAGE: usize = 4 * MOST_BODY;
+const MOST_MESSAGE: usize = 4 * MAX_BODY_BYTES;
 /// So many receipts are remembered at once, in some 80 MB.
 const MOST_RECEIPTS: usize = 32_768;
 /// An asynchronous receipt is posted so often; after that the partner's own resend brings it again.
@@ -323,21 +323,21 @@
     message.header(header).unwrap_or_default().trim_matches('"').to_string()
 }
 
-impl Protocol for As2 {
-    fn most_message(&self) -> usize {
+impl PartnerProtocol for As2 {
+    fn max_message_bytes(&self) -> usize {
         MOST_MESSAGE
     }
 
     /// Answers one request: a message handed in, or an asynchronous receipt.
-    fn answer<'a>(&'a self, request: &'a Message) -> Doing<'a, Message> {
+    fn respond<'a>(&'a self, request: &'a Message) -> BoxFuture<'a, Message> {
         Box::pin(self.answered(request))
     }
 
-    fn serves(&self, destination: i64) -> bool {
+    fn serves_destination(&self, destination: i64) -> bool {
         self.partner_of(destination).is_some()
     }
 
-    fn attempt<'a>(&'a self, call: &'a OutboundCall, progress: &'a mut Progress) -> Doing<'a, Outcome> {
+    fn attempt<'a>(&'a self, call: &'a OutboundCall, progress: &'a mut Progress) -> BoxFuture<'a, Outcome> {
         Box::pin(async move {
             match self.partner_of(call.exchange.destination) {
                 Some(partner) => self.call(call, partner, progress).await,
@@ -347,7 +347,7 @@
     }
 
     /// The receipt that proves a message, where a partner serves its destination.
-    fn expected(&self, exchange: &Exchange) -> Option<Expected> {
+    fn expected_receipt(&self, exchange: &Exchange) -> Option<Expected> {
         let partner = self.partner_of(exchange.destination)?.name.clone();
         Some(Expected { partner, mic: sha256(&content(&exchange.body)).ok()? })
     }
@@ -388,7 +388,7 @@
         let waits = partner.asynchronous.then(|| self.wait(partner, &id, &mic));
         let answer = match self
             .connections
-            .ask(&(call.address.clone(), Some(call.target)), Some(call), || request, progress)
+            .call_and_settle(&(call.address.clone(), Some(call.target)), Some(call), || request, progress)
             .await
         {
             Ok(answer) => answer,
@@ -396,7 +396,7 @@
         };
         match answer.start {
             Start::Response(200..=299) => {}
-            Start::Response(429 | 503) => return Outcome::Full(full(&answer)),
+            Start::Response(429 | 503) => return Outcome::Full(retry_after(&answer)),
             _ => return Outcome::Error,
         }
         if let Some(mut waits) = waits {
@@ -562,8 +562,8 @@
     ) -> Result<Result<Receipt, Message>, As2Error> {
         let mail = mailparse::parse_mail(part).map_err(|_| As2Error::Malformed("content"))?;
         let body = mail.get_body_raw().map_err(|_| As2Error::Malformed("content encoding"))?;
-        if body.len() > MOST_BODY {
-            return Ok(Err(Message::response(413, format!("the content is over {MOST_BODY} bytes"))));
+        if body.len() > MAX_BODY_BYTES {
+            return Ok(Err(Message::response(413, format!("the content is over {MAX_BODY_BYTES} bytes"))));
         }
         let now = self.clock.now();
         let report = report(&self.identity.name, id, &sha256(part)?, "processed")?;
@@ -620,7 +620,7 @@
             for _ in 0..RECEIPT_POSTS {
                 let by = clock.instant(clock.now() + RECEIPT_POST);
                 let mut progress = Progress::default();
-                let asked = connections.ask(&place, None, || post.clone(), &mut progress);
+                let asked = connections.call_and_settle(&place, None, || post.clone(), &mut progress);
                 let asked = tokio::time::timeout_at(by, asked).await;
                 if matches!(asked, Ok(Ok(answer)) if matches!(answer.start, Start::Response(200..=299))) {
                     return;
--- a/src/command/opening.rs
+++ b/src/command/opening.rs
@@ -147,5 +147,5 @@
     let _ = tokio::time::timeout_at(by, refuse).await;
     // Whoever still waits is refused as its input is dropped.
     drop(inputs);
-    front.answered(clock.now() + ANSWER_FOR).await;
+    front.wait_answered(clock.now() + ANSWER_FOR).await;
 }
--- a/src/command/run.rs
+++ b/src/command/run.rs
@@ -23,10 +23,10 @@
 use tulipfall::input::Input;
 use tulipfall::interface::Micros;
 use tulipfall::net::connections::Connections;
-use tulipfall::net::http::Budget;
-use tulipfall::net::inbound::{Front, Inbound, Vocabulary, serve};
+use tulipfall::net::http::MemoryBudget;
+use tulipfall::net::inbound::{Inbound, InboundProtocol, KnownNames, serve};
 use tulipfall::net::outbound::Outbound;
-use tulipfall::net::{Protocol, discovery, door};
+use tulipfall::net::{PartnerProtocol, admin, discovery};
 use tulipfall::recording::{self, Outbox};
 use tulipfall::retry::{Retries, until_works, until_works_blocking};
 use tulipfall::rules::Relay;
@@ -73,24 +73,33 @@
     // Open before the replay: operators hear then that it starts.
     if let Some(ops) = config.ops {
         tokio::select! {
-            opened = until_works("ops", &standing, async || door::open(ops, standing.clone(), clock)) => {
+            opened = until_works("ops", &standing, async || admin::start(ops, standing.clone(), clock)) => {
                 opened.map_err(|error| format!("ops {ops}: {error}"))?;
             }
             () = signals.stop() => return Ok(()),
         }
     }
-    let budget = Budget::new(config.limits.memory / MEMORY_READING);
-    let front = |front| {
+    let budget = MemoryBudget::new(config.limits.memory / MEMORY_READING);
+    let front = |protocol| {
         let (inputs, standing) = (inputs.clone(), standing.clone());
-        let (reading, busy, guests) = Default::default();
-        Arc::new(Inbound { clock, front, inputs, budget: budget.clone(), reading, busy, guests, standing })
+        let (reading, busy, connections) = Default::default();
+        Arc::new(Inbound {
+            clock,
+            protocol,
+            inputs,
+            budget: budget.clone(),
+            reading,
+            busy,
+            connections,
+            standing,
+        })
     };
     // An eighth of the descriptors for AS2 partners. Of what these, files and the agent leave, calls take half at the most,
     // clients what calls leave, up to half of all, and idle connections to endpoints the rest: however many clients hold a
     // place, a call and the agent find a descriptor.
     let most_partners = config.limits.sockets / 8;
     let partners = if config.as2.is_some() { most_partners } else { 0 };
-    let ops = config.ops.map_or(0, |_| door::DESCRIPTORS);
+    let ops = config.ops.map_or(0, |_| admin::MAX_DESCRIPTORS);
     let left = config.limits.sockets.saturating_sub(partners + FILES + ops).max(2);
     config.settings.slots = config.settings.slots.min(u32::try_from(left / 2).unwrap_or(u32::MAX));
     let left = left - config.settings.slots as usize;
@@ -100,9 +109,9 @@
 
     let (ended, mut ends) = mpsc::unbounded_channel();
     let vocabulary =
-        Vocabulary::new(config.names.classes(), &config.settings.classes, config.names.tenants());
+        KnownNames::new(config.names.classes(), &config.settings.classes, config.names.tenants());
     let (naming, named) = watch::channel(vocabulary);
-    let platform = front(Front::Platform(named));
+    let platform = front(InboundProtocol::Platform(named));
     let mut serving = None;
     let mut inherited = config.accept.as_deref().map(|fd| adopt(fd, config.listen)).transpose()?;
     // Bound before the replay, so that clients wait for it rather than be turned away. One that is inherited may be
@@ -139,13 +148,13 @@
     let replay = journal.replay();
     let settings = &config.settings;
     let connections = Connections::new(clock, settings.connect_timeout, settings.connection_idle, most_idle)
-        .counted_by(standing.connections().clone());
+        .with_counts(standing.connections().clone());
     let as2 = config.as2.take().map(|as2| {
         let receipts = replay.receipts.clone();
         let front = As2::new(as2.identity, clock, inputs.clone(), connections.clone(), receipts);
         (as2.listen, Arc::new(front))
     });
-    let partners = as2.as_ref().map(|(_, front)| front.clone() as Arc<dyn Protocol>);
+    let partners = as2.as_ref().map(|(_, front)| front.clone() as Arc<dyn PartnerProtocol>);
     let caller = Box::new(Outbound::new(clock, inputs.clone(), connections.clone(), partners));
     let (messages, pending) = (replay.messages.len(), replay.notices.len());
     let relay = (Relay::new(config.settings.clone(), config.seed)?, config.settings.clone());
@@ -199,15 +208,15 @@
     }
     // Pushed lists are asked of an agent of this machine's own; others cost the one that all relays ask.
     let (asking, watch) = match config.settings.ask_every {
-        None => (1, discovery::WATCH_PUSHED),
-        Some(_) => (config.settings.senders, discovery::WATCH),
+        None => (1, discovery::LOCAL_WATCH_WAIT),
+        Some(_) => (config.settings.senders, discovery::WATCH_WAIT),
     };
-    let mut back_off = discovery::BackOff::new(asking, config.seed, config.settings.rules.drain_grace);
+    let mut back_off = discovery::Backoff::new(asking, config.seed, config.settings.rules.drain_grace);
     let mut kept = None;
     match told {
         None => runtime.resume(known, said, replay)?,
         Some((handed, link)) => {
-            back_off = back_off.watching();
+            back_off = back_off.resuming();
             standing.take_posture(handed.standby);
             kept = Some((link, runtime.adopt(*handed, replay)?));
         }
@@ -215,12 +224,12 @@
 
     let [asked, told] = addresses(&config);
     let ((ask, asked), (tell, told)) = (watch::channel(asked), watch::channel(told));
-    let follow = discovery::follow(clock, asked, revision, (back_off, watch), inputs.clone());
-    let follow = tokio::spawn(watched("discovery", &ended, follow));
-    tokio::spawn(watched("reports", &ended, discovery::notify(clock, told, owed, inputs.clone())));
+    let following = discovery::watch_list(clock, asked, revision, (back_off, watch), inputs.clone());
+    let following = tokio::spawn(watched("discovery", &ended, following));
+    tokio::spawn(watched("reports", &ended, discovery::send_reports(clock, told, owed, inputs.clone())));
     let mut fronts = vec![platform.clone()];
     if let Some((address, as2)) = as2 {
-        let as2 = front(Front::Beside(as2));
+        let as2 = front(InboundProtocol::Partner(as2));
         let most = Arc::new(AtomicUsize::new(most_partners));
         let partners = serve(listen(address, &standing).await?, as2.clone(), most);
         tokio::spawn(watched("partners' connections", &ended, partners));
@@ -231,14 +240,14 @@
         if kept.is_some() {
             // Clients' connections are shared between the two until the old one's are gone.
             clients.store(places(most_clients, most_clients), Ordering::Relaxed);
-            connections.keep_at_most(most_idle / 8);
+            connections.set_max_idle(most_idle / 8);
         }
         let (inputs, places_now, connections) = (inputs.clone(), clients.clone(), connections.clone());
         let (state, name, hands_over) = (config.state.clone(), config.name.clone(), hands_over(&config));
         tokio::spawn(async move {
             if let Some((link, out)) = kept {
                 keep(link, out, inputs.clone(), clients, most_clients).await;
-                connections.keep_at_most(most_idle);
+                connections.set_max_idle(most_idle);
             }
             // With nobody before it any more, this one may be replaced in turn.
             if hands_over {
@@ -251,7 +260,7 @@
     let retiring = connections.clone();
     tokio::spawn(async move {
         loop {
-            let again = retiring.retire();
+            let again = retiring.close_expired();
             tokio::time::sleep_until(clock.instant(again)).await;
         }
     });
@@ -287,7 +296,7 @@
     if let End::HandedOver(left, inputs) = end {
         // All that the new process is to have: the listening socket and the notes' socket are let go of, then the
         // folder, of which the journal is closed already.
-        for task in [serving, Some(follow)].into_iter().flatten() {
+        for task in [serving, Some(following)].into_iter().flatten() {
             task.abort();
             let _ = task.await;
         }
@@ -295,7 +304,7 @@
             abort.abort();
             let _ = task.await;
         }
-        connections.keep_at_most(0);
+        connections.set_max_idle(0);
         standing.enter(Phase::Superseded);
         drop(owner);
         if let Some(mut successor) = linked.recv().await {
@@ -305,7 +314,7 @@
         return Ok(());
     }
     for front in fronts {
-        front.answered(clock.now() + ANSWER_WITHIN).await;
+        front.wait_answered(clock.now() + ANSWER_WITHIN).await;
     }
     if let Some(record) = started
         && !record.handle.flushed(clock.instant(clock.now() + RECORD_WITHIN)).await
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -22,7 +22,7 @@
 use crate::as2::Identity;
 use crate::fleet::Setup;
 use crate::interface::Settings;
-use crate::net::discovery::Told;
+use crate::net::discovery::MemberList;
 use crate::recording::Recording;
 use crate::store::{Room, TO_END, TO_END_RECORDED};
 use crate::wire::Names;
@@ -78,7 +78,7 @@
     /// Names of the classes, tenants and other items in these settings.
     pub names: Names,
     /// The destination set as last known.
-    pub known: Option<Told>,
+    pub known: Option<MemberList>,
     /// The file as it was read.
     source: Value,
 }
--- a/src/config/operator/mod.rs
+++ b/src/config/operator/mod.rs
@@ -11,7 +11,7 @@
 
 use serde_json::Value;
 
-use crate::net::discovery::told;
+use crate::net::discovery::parse_list;
 
 use super::distribution;
 use super::error::{ConfigError, bad};
@@ -43,7 +43,7 @@
         let ops = read_admin_address(top, &environment)?;
         let (settings, known) = settings::read(top)?;
         let (mut settings, names) = read_settings(&settings)?;
-        let known = told(&known).map_err(|why| bad("destination", why))?;
+        let known = parse_list(&known).map_err(|why| bad("destination", why))?;
         let limits = Limits::from_operator(top)?;
         let mut fleet = top.table("peers")?.map(|table| fleet::read(&table, folder)).transpose()?;
         if let Some(table) = top.table("configuration")? {
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 use crate::fleet::{FactsSetup, Setup, TurnsSetup};
-use crate::net::discovery::{Told, told};
+use crate::net::discovery::{MemberList, parse_list};
 
 use super::error::{ConfigError, bad};
 use super::fleet::{DEFAULT_BYTES_PER_S, apply_to_settings, parse_address, parse_zones};
@@ -99,9 +99,9 @@
     }
 }
 
-fn read_known(value: &Value) -> Result<Option<Told>, ConfigError> {
+fn read_known(value: &Value) -> Result<Option<MemberList>, ConfigError> {
     let known = value.get("known").filter(|known| !known.is_null());
-    known.map(told).transpose().map_err(|why| bad("known", why))
+    known.map(parse_list).transpose().map_err(|why| bad("known", why))
 }
 
 /// Fleet features that the environment switches on or off.
--- a/src/handover/link.rs
+++ b/src/handover/link.rs
@@ -14,7 +14,7 @@
 
 use crate::exchange::{Answer, CallEnd, CallHeard, Exchange};
 use crate::handed::Handed;
-use crate::net::http::MOST_BODY;
+use crate::net::http::MAX_BODY_BYTES;
 use crate::net::stream::Stream;
 
 /// What is said without a body may have so many bytes.
@@ -82,7 +82,7 @@
         }) else {
             return Ok(None);
         };
-        if head > MOST_HEAD || body > MOST_BODY {
+        if head > MOST_HEAD || body > MAX_BODY_BYTES {
             return Err(wrong(format!("a frame of {head} and {body} bytes")));
         }
         if from.len() < LENGTHS + head + body {
@@ -106,7 +106,7 @@
     fn encode(&mut self, word: &Word, to: &mut BytesMut) -> Result<(), std::io::Error> {
         let head = serde_json::to_vec(word)?;
         let body = if let Word::Handed(_, exchange) = word { &exchange.body[..] } else { &[] };
-        if head.len() > MOST_HEAD || body.len() > MOST_BODY {
+        if head.len() > MOST_HEAD || body.len() > MAX_BODY_BYTES {
             return Err(std::io::Error::new(ErrorKind::InvalidData, "a frame that is too long"));
         }
         to.reserve(LENGTHS + head.len() + body.len());
--- a/src/handover/old.rs
+++ b/src/handover/old.rs
@@ -118,12 +118,12 @@
         let now = clock.now();
         if now >= look {
             look = now + COUNT_EVERY;
-            let count = front.connections();
+            let count = front.open_connections();
             if count != clients && !alone {
                 clients = count;
                 let _ = link.send(&Word::Clients(count)).await;
             }
-            let quiet = front.open() == 0 && (count == 0 || now >= leaves);
+            let quiet = front.pending_requests() == 0 && (count == 0 || now >= leaves);
             if quiet && out.is_empty() || now >= until {
                 info!("left: {} calls are still out, {count} clients' connections open", out.len());
                 return;
--- a/src/net/door.rs
+++ b/src/net/admin.rs
@@ -1,7 +1,6 @@
-//! The operators' door: a second address on which they ask what this process is at, and have it emptied or filled.
-//! Owns its socket, a thread of its own, and a descriptor in reserve, so that it answers while the rest of the
-//! program is busy or short of anything. It must never wait for the runtime, share a queue or a budget with clients,
-//! or decide anything about a message.
+//! Admin endpoint: a second address on which operators query the state of the process and switch it between active and standby.
+//! It has its own socket, thread and reserve descriptor, so that it answers while the rest of the process is busy or out of
+//! resources. It does not wait for the runtime, shares no queue or memory budget with clients, and decides nothing about messages.
 
 use std::collections::VecDeque;
 use std::fs::File;
@@ -17,37 +16,37 @@
 use tokio_util::codec::Framed;
 use tracing::{info, warn};
 
-use super::http::{Budget, Codec, HttpError, Message, Start};
+use super::http::{Codec, HttpError, MemoryBudget, Message, Start};
 use super::stream::Stream;
 use crate::exchange::Clock;
 use crate::interface::Micros;
 use crate::standing::{ConnectionCounts, Standing, StoreHealth, StoreOutage, VerdictCounts};
 
-/// Callers at a time; the oldest that is not done makes room for the next.
-const CALLERS: usize = 24;
-/// Descriptors that the door takes at the most: its socket, its callers, its poll, and the one in reserve.
-pub const DESCRIPTORS: usize = CALLERS + 6;
-/// A call's body may have so many bytes; none is needed.
-const MOST_BODY: usize = 1024;
-/// A whole call has to come within this.
-const WHOLE_WITHIN: Micros = 5_000_000;
-/// After the answer what still comes is read for so long.
-const LINGER: Micros = 200_000;
-/// While descriptors are short, one is tried for so often.
-const LOOK_AGAIN: Micros = 5_000;
+/// Maximum number of concurrent connections. The oldest one is closed for a further one.
+const MAX_CONNECTIONS: usize = 24;
+/// Maximum number of file descriptors in use: the socket, its connections, the event loop and the reserve descriptor.
+pub const MAX_DESCRIPTORS: usize = MAX_CONNECTIONS + 6;
+/// Maximum size of a request body. No request needs one.
+const MAX_BODY_BYTES: usize = 1024;
+/// Time limit for a complete request, in microseconds.
+const REQUEST_TIMEOUT: Micros = 5_000_000;
+/// Time limit for writing the response, and for reading what arrives after it, in microseconds.
+const LINGER_TIMEOUT: Micros = 200_000;
+/// Interval between attempts to accept while descriptors are short, in microseconds.
+const ACCEPT_RETRY_INTERVAL: Micros = 5_000;
 
-/// Opens the door and serves it from a thread of its own until the process ends.
+/// Opens the admin endpoint and serves it from its own thread until the process ends.
 ///
 /// # Errors
-/// Where the address is not to be had.
-pub fn open(address: SocketAddr, standing: Arc<Standing>, clock: Clock) -> std::io::Result<()> {
+/// If the address cannot be bound.
+pub fn start(address: SocketAddr, standing: Arc<Standing>, clock: Clock) -> std::io::Result<()> {
     let listener = TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
     info!("operators' door on {}", listener.local_addr()?);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     std::thread::Builder::new().name("door".into()).spawn(move || {
         if let Err(error) = runtime.block_on(serve(listener, standing, clock)) {
-            warn!("operators' door: {error}");
+            warn!("admin endpoint failed: {error}");
         }
     })?;
     Ok(())
@@ -55,15 +54,15 @@
 
 async fn serve(listener: TcpListener, standing: Arc<Standing>, clock: Clock) -> std::io::Result<()> {
     let listener = tokio::net::TcpListener::from_std(listener)?;
-    let budget = Budget::new(CALLERS * MOST_BODY);
-    let mut callers = JoinSet::new();
+    let budget = MemoryBudget::new(MAX_CONNECTIONS * MAX_BODY_BYTES);
+    let mut connections = JoinSet::new();
     let mut order: VecDeque<AbortHandle> = VecDeque::new();
     let mut reserve = File::open("/dev/null").ok();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            Some(_) = callers.join_next() => {
-                order.retain(|caller| !caller.is_finished());
+            Some(_) = connections.join_next() => {
+                order.retain(|connection| !connection.is_finished());
                 if reserve.is_none() {
                     reserve = File::open("/dev/null").ok();
                 }
@@ -72,54 +71,60 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                order.retain(|caller| !caller.is_finished());
-                if order.len() >= CALLERS
+                order.retain(|connection| !connection.is_finished());
+                if order.len() >= MAX_CONNECTIONS
                     && let Some(oldest) = order.pop_front()
                 {
                     oldest.abort();
                 }
-                order.push_back(callers.spawn(call(stream, standing.clone(), clock, budget.clone())));
+                order.push_back(connections.spawn(serve_request(
+                    stream,
+                    standing.clone(),
+                    clock,
+                    budget.clone(),
+                )));
             }
-            // Descriptors are short: the one in reserve is for this caller, then the oldest one's.
+            // Descriptors are short: this connection gets the reserve descriptor, then that of the oldest connection.
             Err(error) => {
                 if reserve.take().is_none() {
-                    warn!("operators' door: accept: {error}");
+                    warn!("admin endpoint cannot accept a connection: {error}");
                     if let Some(oldest) = order.pop_front() {
                         oldest.abort();
                     }
-                    tokio::time::sleep_until(clock.instant(clock.now() + LOOK_AGAIN)).await;
+                    tokio::time::sleep_until(clock.instant(clock.now() + ACCEPT_RETRY_INTERVAL)).await;
                 }
             }
         }
     }
 }
 
-/// One call a connection.
-async fn call(stream: TcpStream, standing: Arc<Standing>, clock: Clock, budget: Arc<Budget>) {
+/// Serves one request and closes the connection.
+async fn serve_request(stream: TcpStream, standing: Arc<Standing>, clock: Clock, budget: Arc<MemoryBudget>) {
     let _ = stream.set_nodelay(true);
-    let mut framed = Framed::new(Stream::new(stream), Codec::server(MOST_BODY, budget));
-    let by = clock.instant(clock.now() + WHOLE_WITHIN);
-    let mut answer = match tokio::time::timeout_at(by, framed.next()).await {
+    let mut framed = Framed::new(Stream::new(stream), Codec::server(MAX_BODY_BYTES, budget));
+    let by = clock.instant(clock.now() + REQUEST_TIMEOUT);
+    let mut response = match tokio::time::timeout_at(by, framed.next()).await {
         Ok(None | Some(Err(HttpError::Io(_)))) => return,
-        Ok(Some(Ok(request))) => answer(&request, &standing),
+        Ok(Some(Ok(request))) => respond(&request, &standing),
         Ok(Some(Err(error @ HttpError::TooLarge(_)))) => Message::response(413, error.to_string()),
         Ok(Some(Err(error))) => Message::response(400, error.to_string()),
-        Err(_) => Message::response(408, HttpError::Late.to_string()),
+        Err(_) => Message::response(408, HttpError::Timeout.to_string()),
     };
-    answer.keep_alive = false;
-    let sent = tokio::time::timeout_at(clock.instant(clock.now() + LINGER), framed.send(&answer)).await;
+    response.keep_alive = false;
+    let sent =
+        tokio::time::timeout_at(clock.instant(clock.now() + LINGER_TIMEOUT), framed.send(&response)).await;
     if matches!(sent, Ok(Ok(()))) {
-        // Closed with bytes unread, the connection would be reset, and the answer might be lost with it.
+        // Closing with unread bytes would reset the connection, which may lose the response.
         let mut stream = framed.into_inner();
-        let (mut bytes, until) = ([0; 1024], clock.instant(clock.now() + LINGER));
+        let (mut bytes, until) = ([0; 1024], clock.instant(clock.now() + LINGER_TIMEOUT));
         if stream.shutdown().await.is_ok() {
             while let Ok(Ok(1..)) = tokio::time::timeout_at(until, stream.read(&mut bytes)).await {}
         }
     }
 }
 
-/// The state of the store, as operators are shown it.
-fn store(health: &StoreHealth) -> Value {
+/// Returns the state of the store.
+fn store_status(health: &StoreHealth) -> Value {
     match &health.outage {
         None => json!({"state": "working", "outages": health.outages}),
         Some(StoreOutage { since, failures, error }) => json!({"state": "failing", "outages": health.outages,
@@ -127,8 +132,8 @@
     }
 }
 
-/// The connections to endpoints, as operators are shown them.
-fn connections(counts: &ConnectionCounts) -> Value {
+/// Returns the counters of the connections to endpoints.
+fn connection_counts(counts: &ConnectionCounts) -> Value {
     let ConnectionCounts { opened, surplus, doubtful, withheld, verdicts } = counts;
     let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
     let VerdictCounts { delivered, over, may_have_ended, spent, owed } = verdicts;
@@ -137,8 +142,8 @@
             "spent": read(spent), "owed": read(owed)}})
 }
 
-/// What a call is answered.
-fn answer(request: &Message, standing: &Standing) -> Message {
+/// Returns the response to a request.
+fn respond(request: &Message, standing: &Standing) -> Message {
     let Start::Request(method, path) = &request.start else { return Message::response(400, "no request") };
     let path = path.split('?').next().unwrap_or_default();
     let (needed, order) = match path {
@@ -160,8 +165,8 @@
     let mut body = json!({"state": standing.word(), "ready": standing.ready(), "held": held, "out": out,
         "since": standing.since() as f64 / 1e6});
     if let Some(fields) = body.as_object_mut() {
-        fields.insert("store".into(), store(&standing.store()));
-        fields.insert("connections".into(), connections(standing.connections()));
+        fields.insert("store".into(), store_status(&standing.store()));
+        fields.insert("connections".into(), connection_counts(standing.connections()));
     }
     let why = standing.why();
     if !why.is_empty()
@@ -178,22 +183,22 @@
     use crate::standing::Phase;
 
     #[test]
-    fn each_call_is_answered_by_its_method_its_path_and_what_the_process_is_at() {
+    fn the_response_depends_on_method_path_and_state() {
         let standing = Standing::starting(Clock::start());
-        let asked = |method: &str, path: &str| {
-            let answer = answer(&Message::request(method, path), &standing);
-            let Start::Response(status) = answer.start else { panic!("an answer") };
-            (status, answer.header("Allow").map(String::from))
+        let request = |method: &str, path: &str| {
+            let response = respond(&Message::request(method, path), &standing);
+            let Start::Response(status) = response.start else { panic!("a response") };
+            (status, response.header("Allow").map(String::from))
         };
-        let status = |method: &str, path: &str| asked(method, path).0;
+        let status = |method: &str, path: &str| request(method, path).0;
         assert_eq!(status("GET", "/status"), 503);
         standing.enter(Phase::Serving);
         assert_eq!(status("GET", "/status"), 200);
         assert_eq!((status("POST", "/standby"), status("POST", "/standby")), (200, 200));
         assert_eq!(status("GET", "/status"), 503);
         assert_eq!((status("POST", "/active"), status("GET", "/status")), (200, 200));
-        assert_eq!(asked("POST", "/status"), (405, Some("GET".into())));
-        assert_eq!(asked("GET", "/active"), (405, Some("POST".into())));
+        assert_eq!(request("POST", "/status"), (405, Some("GET".into())));
+        assert_eq!(request("GET", "/active"), (405, Some("POST".into())));
         assert_eq!(status("GET", "/"), 404);
         standing.enter(Phase::Superseded);
         assert_eq!((status("POST", "/standby"), status("GET", "/status")), (409, 503));
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -1,6 +1,6 @@
-//! The connections to whom the relay calls: endpoints, and AS2 partners for their receipts. Tells exactly whether a
-//! request's last byte was written, and whether an answer certainly belongs to its request. It must never send a request
-//! twice, on whatever connection, nor a call's bytes while something stands against the call.
+//! Connections to endpoints, and to AS2 partners for their receipts. Reports exactly whether the last byte of a request was
+//! written, and whether an answer certainly belongs to its request. Invariants: a request is written at most once, on one
+//! connection, and no byte of a call is written while the send guard forbids the call.
 
 use std::pin::Pin;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -14,87 +14,88 @@
 use verdict::reuse::{REST, ReusePolicy};
 use verdict::{After, Extent, Heard, Position, Repeat};
 
-use super::answer::AnswerReader;
-use super::clearance::Clearance;
-use super::http::{AnswerCodec, MOST_BODY, Message};
+use super::http::{MAX_BODY_BYTES, Message, ResponseCodec};
+use super::idle::{Connection, IdleEnd, Pool, Settling, Surplus};
 use super::progress::Progress;
-use super::resting::{Broken, Connection, Pool, Settling, Surplus};
+use super::response::ResponseReader;
+use super::send_guard::SendGuard;
 use super::stream::{Stream, failed_locally};
 use crate::exchange::{Clock, OutboundCall};
 use crate::interface::{Effect, Micros, Outcome, TargetId};
 use crate::standing::ConnectionCounts;
 
-/// A connection that this machine could not make is tried again after this at first, in microseconds.
-const LOCAL_RETRY: Micros = 2_000;
-/// An idle connection is retired when this part of its idle life is left.
-const RETIRE_PART: Micros = 10;
-/// A connection is watched after an answer until this long after its call's deadline at the most, in microseconds.
-const PAST_DEADLINE: Micros = 100_000;
-/// What settles then is told within this, in microseconds.
-const SETTLED_WITHIN: Micros = 20_000;
-/// This part of the descriptors for idle connections is for those that settle.
-const SETTLING_PART: usize = 3;
-/// Shortest time between two log lines about surplus bytes at the default level, in microseconds.
-const WARN_EVERY: Micros = 1_000_000;
-
-/// Whom a connection leads to: an address, and the endpoint that was told to listen there. The address may pass
-/// to another endpoint, to which no connection of the old one leads.
-pub type Place = (Arc<str>, Option<TargetId>);
-
-/// The connections to endpoints, on which one request at a time is answered.
+/// Initial interval between attempts to connect after a failure on this machine, in microseconds. It doubles each time.
+const LOCAL_RETRY_INTERVAL: Micros = 2_000;
+/// An idle connection is closed this fraction (one in this many) of its idle time before the peer may close it.
+const IDLE_MARGIN_DIVISOR: Micros = 10;
+/// Time after the deadline of a call for which its connection is still watched after an answer, in microseconds.
+const WATCH_PAST_DEADLINE: Micros = 100_000;
+/// Time for the pool to report what followed an answer, in microseconds.
+const SETTLE_REPORT_TIMEOUT: Micros = 20_000;
+/// Fraction (one in this many) of the descriptors for idle connections that is for connections with unsettled answers.
+const SETTLING_DIVISOR: usize = 3;
+/// Minimum interval between warnings about surplus bytes, in microseconds. Further ones are logged at debug level.
+const WARN_INTERVAL: Micros = 1_000_000;
+
+/// Key of a connection: an address, and the endpoint that is listed there. If the address passes to another endpoint, connections
+/// to the old one are not used for it.
+pub type ConnectionKey = (Arc<str>, Option<TargetId>);
+
+/// Connections to endpoints. Each carries one request at a time.
 #[derive(Clone)]
 pub struct Connections {
     clock: Clock,
-    clearance: Clearance,
-    connect_within: Micros,
-    idle_for: Micros,
-    most_idle: Arc<AtomicUsize>,
-    pool: Arc<Mutex<Pool<Place>>>,
-    /// Places for connections that are no call's any more and do not rest yet.
+    send_guard: SendGuard,
+    connect_timeout: Micros,
+    max_idle_time: Micros,
+    max_idle: Arc<AtomicUsize>,
+    pool: Arc<Mutex<Pool<ConnectionKey>>>,
+    /// Capacity for connections whose call has ended and whose answer is not settled.
     settling: Arc<Semaphore>,
-    watch: Watch,
+    monitor: Monitor,
 }
 
-/// What is known of surplus bytes, and who is told.
+/// Reuse policy by surplus bytes, with its counters and log.
 #[derive(Clone)]
-struct Watch {
+struct Monitor {
     clock: Clock,
-    policy: Arc<Mutex<ReusePolicy<Place>>>,
+    policy: Arc<Mutex<ReusePolicy<ConnectionKey>>>,
     counts: Arc<ConnectionCounts>,
     opened: Arc<AtomicU64>,
     warn_at: Arc<Mutex<Micros>>,
 }
 
-/// A whole answer, which may still have to settle.
-pub struct Answered {
-    place: Place,
+/// A complete answer, which may not be settled yet.
+pub struct ReceivedAnswer {
+    key: ConnectionKey,
     connection: Connection,
     repeat: Repeat,
     sent: Micros,
     at: Micros,
     answer: Message,
-    /// It is watched until then at the most.
+    /// End of the time for which its connection is watched.
     watched_until: Micros,
 }
 
-impl Answered {
-    /// The answer.
+impl ReceivedAnswer {
+    /// Returns the answer.
     pub fn answer(&self) -> &Message {
         &self.answer
     }
 
-    /// When it had come.
+    /// Returns when the complete answer had arrived.
     pub fn at(&self) -> Micros {
         self.at
     }
 
-    /// Whether its connection is closed at once. Closed before earlier answers have settled, it would leave them in doubt.
+    /// Returns whether its connection is closed at once. That is not done before earlier answers are settled, as they would remain
+    /// in doubt.
     fn closes_at_once(&self, heard: &Heard) -> bool {
         heard.closes_at_once(self.repeat) && self.connection.settling.is_empty()
     }
 }
 
-/// What a second run of a message does, where it has this effect.
+/// Returns the effect of a retry of a message with this effect.
 fn repeat(effect: Effect) -> Repeat {
     match effect {
         Effect::Safe => Repeat::Harmless,
@@ -102,17 +103,19 @@
     }
 }
 
-impl Watch {
-    fn policy(&self) -> MutexGuard<'_, ReusePolicy<Place>> {
+impl Monitor {
+    fn policy(&self) -> MutexGuard<'_, ReusePolicy<ConnectionKey>> {
         self.policy.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Bytes came on a connection that nobody had asked for. Whoever tells this closes it.
-    fn surplus(&self, place: &Place, connection: &Connection, surplus: Surplus, during: &'static str) {
+    /// Counts and logs surplus bytes on a connection. The caller closes the connection.
+    fn record_surplus(
+        &self, key: &ConnectionKey, connection: &Connection, surplus: Surplus, during: &'static str,
+    ) {
         let now = self.clock.now();
-        self.policy().surplus(place, now);
+        self.policy().surplus(key, now);
         ConnectionCounts::add(&self.counts.surplus);
-        let (endpoint, number, calls) = (&*place.0, connection.number, connection.calls);
+        let (endpoint, number, calls) = (&*key.0, connection.number, connection.calls);
         let Surplus { bytes, status } = surplus;
         let mut warn_at = self.warn_at.lock().unwrap_or_else(PoisonError::into_inner);
         if now < *warn_at {
@@ -123,10 +126,10 @@
                 bytes,
                 status,
                 during,
-                "closed for surplus bytes"
+                "connection closed because of surplus bytes"
             );
         }
-        *warn_at = now + WARN_EVERY;
+        *warn_at = now + WARN_INTERVAL;
         warn!(
             endpoint,
             connection = number,
@@ -134,18 +137,18 @@
             bytes,
             status,
             during,
-            "closed for surplus bytes; its endpoint gets a new connection for each call for a while"
+            "connection closed because of surplus bytes; its endpoint gets a new connection for each call for a while"
         );
     }
 
-    fn broken(&self, place: &Place, connection: &Connection, how: Broken) {
-        match how {
-            Broken::Surplus(surplus) => self.surplus(place, connection, surplus, "rest"),
-            Broken::Closed => {
+    fn idle_ended(&self, key: &ConnectionKey, connection: &Connection, end: IdleEnd) {
+        match end {
+            IdleEnd::Surplus(surplus) => self.record_surplus(key, connection, surplus, "rest"),
+            IdleEnd::Closed => {
                 debug!(
-                    endpoint = &*place.0,
+                    endpoint = &*key.0,
                     connection = connection.number,
-                    "closed by the other side at rest"
+                    "idle connection closed by its peer"
                 );
             }
         }
@@ -153,53 +156,53 @@
 }
 
 impl Connections {
-    /// With the settings' limits on connecting and on idle connections, of which `most_idle` are kept.
-    pub fn new(clock: Clock, connect_within: Micros, idle_limit: Micros, most_idle: usize) -> Self {
-        let idle_for = idle_limit - idle_limit / RETIRE_PART;
-        let settling = Arc::new(Semaphore::new(most_idle / SETTLING_PART));
-        let most_idle = Arc::new(AtomicUsize::new(most_idle - most_idle / SETTLING_PART));
-        let clearance = Clearance::new(clock);
+    /// Creates the connections with the configured connect timeout and idle time limit. At most `max_idle` idle ones are kept.
+    pub fn new(clock: Clock, connect_timeout: Micros, idle_limit: Micros, max_idle: usize) -> Self {
+        let max_idle_time = idle_limit - idle_limit / IDLE_MARGIN_DIVISOR;
+        let settling = Arc::new(Semaphore::new(max_idle / SETTLING_DIVISOR));
+        let max_idle = Arc::new(AtomicUsize::new(max_idle - max_idle / SETTLING_DIVISOR));
+        let send_guard = SendGuard::new(clock);
         let warn_at = Arc::new(Mutex::new(Micros::MIN));
         let (policy, counts, opened) = Default::default();
-        let watch = Watch { clock, policy, counts, opened, warn_at };
+        let monitor = Monitor { clock, policy, counts, opened, warn_at };
         Connections {
             clock,
-            clearance,
-            connect_within,
-            idle_for,
-            most_idle,
+            send_guard,
+            connect_timeout,
+            max_idle_time,
+            max_idle,
             pool: Arc::default(),
             settling,
-            watch,
+            monitor,
         }
     }
 
-    /// Counts surplus bytes, doubtful answers and new connections there.
+    /// Sets the counters for surplus bytes, doubtful answers and new connections.
     #[must_use]
-    pub fn counted_by(mut self, counts: Arc<ConnectionCounts>) -> Self {
-        self.watch.counts = counts;
+    pub fn with_counts(mut self, counts: Arc<ConnectionCounts>) -> Self {
+        self.monitor.counts = counts;
         self
     }
 
-    /// Where connections and verdicts are counted.
+    /// Returns the counters of connections and decisions.
     pub fn counts(&self) -> &ConnectionCounts {
-        &self.watch.counts
+        &self.monitor.counts
     }
 
-    /// What stands against calls.
-    pub fn clearance(&self) -> &Clearance {
-        &self.clearance
+    /// Returns the guard that forbids calls.
+    pub fn send_guard(&self) -> &SendGuard {
+        &self.send_guard
     }
 
-    /// [`Connections::call`] and [`Connections::settle`] in one, for calls that nobody calls off.
+    /// Combines [`Connections::call`] and [`Connections::settle`], for calls that are never cancelled.
     ///
     /// # Errors
-    /// That of the first.
-    pub async fn ask(
-        &self, place: &Place, call: Option<&OutboundCall>, request: impl FnOnce() -> Message,
+    /// Those of [`Connections::call`]. Also if it is in doubt whether the answer belongs to the request.
+    pub async fn call_and_settle(
+        &self, key: &ConnectionKey, call: Option<&OutboundCall>, request: impl FnOnce() -> Message,
         progress: &mut Progress,
     ) -> Result<Message, Outcome> {
-        let answered = self.call(place, call, request, progress, std::future::pending()).await?;
+        let answered = self.call(key, call, request, progress, std::future::pending()).await?;
         let answer = self.settle(answered, progress).await;
         let doubtful = match progress.heard.after {
             After::Surplus => true,
@@ -209,127 +212,130 @@
         if doubtful { Err(Outcome::Spoilt) } else { Ok(answer) }
     }
 
-    /// Writes a request once, on one connection, and reads the answer; `progress` tells how far both came. It is made
-    /// once the connection is there; where it is the request of `call`, not a byte goes while something stands against
-    /// that, and not the last one either. It is given up at the deadline of `call`, or once `called_off` comes.
+    /// Writes a request once, on one connection, and reads the answer. `progress` records how much of both was transferred. The
+    /// request is created once the connection is established. If it belongs to `call`, no byte of it is written while the send
+    /// guard forbids the call, up to and including the last byte. The call is given up at its deadline, or once `cancelled`
+    /// completes.
     ///
     /// # Errors
-    /// The outcome, where no whole answer came.
+    /// The outcome, if there is no complete answer.
     pub async fn call(
-        &self, place: &Place, call: Option<&OutboundCall>, request: impl FnOnce() -> Message,
-        progress: &mut Progress, called_off: impl Future<Output = ()>,
-    ) -> Result<Answered, Outcome> {
+        &self, key: &ConnectionKey, call: Option<&OutboundCall>, request: impl FnOnce() -> Message,
+        progress: &mut Progress, cancelled: impl Future<Output = ()>,
+    ) -> Result<ReceivedAnswer, Outcome> {
         let deadline = self.clock.instant(call.map_or(Micros::MAX, |call| call.deadline));
         let limit = async {
             tokio::select! {
                 biased;
-                () = called_off => Outcome::Cancelled,
+                () = cancelled => Outcome::Cancelled,
                 () = tokio::time::sleep_until(deadline) => Outcome::TimedOut,
             }
         };
         tokio::pin!(limit);
-        let answered = self.exchange(place, call, request, progress, limit).await;
-        progress.heard.suspect = self.suspects(place);
+        let answered = self.exchange(key, call, request, progress, limit).await;
+        progress.heard.suspect = self.suspects(key);
         let answered = answered?;
         progress.answered = Some(answered.at);
-        // It binds from now on, however long the answer takes to settle.
+        // The wait applies from now on, however long the answer takes to settle.
         if let (Some(wait), Some(call)) = (progress.wait, call) {
-            self.clearance.wait(call.lane, answered.at + wait);
+            self.send_guard.hold_path(call.lane, answered.at + wait);
         }
         Ok(answered)
     }
 
-    fn suspects(&self, place: &Place) -> bool {
-        self.watch.policy().suspects(place, self.clock.now())
+    fn suspects(&self, key: &ConnectionKey) -> bool {
+        self.monitor.policy().suspects(key, self.clock.now())
     }
 
-    /// Room for the connection of an answer that is still to settle, so that its call need not be counted as one that is out.
-    /// `None` where nothing is left to settle, or there is no room.
-    pub fn release(&self, answered: &Answered, progress: &Progress) -> Option<OwnedSemaphorePermit> {
+    /// Reserves capacity for the connection of an unsettled answer, so that its call need not count as in flight. Returns `None` if
+    /// the answer is settled or there is no capacity.
+    pub fn reserve_settling(
+        &self, answered: &ReceivedAnswer, progress: &Progress,
+    ) -> Option<OwnedSemaphorePermit> {
         if !progress.heard.settles() || answered.closes_at_once(&progress.heard) {
             return None;
         }
         self.settling.clone().try_acquire_owned().ok()
     }
 
-    /// Settles whether an answer belongs to its call, and what becomes of the connection. One that may be a copy is watched
-    /// for what else comes, or its connection is closed. The progress says what came of that.
-    pub async fn settle(&self, answered: Answered, progress: &mut Progress) -> Message {
+    /// Settles whether an answer belongs to its call, and keeps or closes the connection. If the answer may be a duplicate, the
+    /// connection is closed, or watched for what else arrives. `progress` records the result.
+    pub async fn settle(&self, answered: ReceivedAnswer, progress: &mut Progress) -> Message {
         let closes_at_once = answered.closes_at_once(&progress.heard);
-        let Answered { place, mut connection, sent, at, answer, watched_until, .. } = answered;
+        let ReceivedAnswer { key, mut connection, sent, at, answer, watched_until, .. } = answered;
         connection.closing = !answer.keep_alive;
         if !progress.heard.settles() {
-            self.watch.policy().answered(&place, at - sent, at);
-            self.rest(&place, connection, at, progress.heard);
+            self.monitor.policy().answered(&key, at - sent, at);
+            self.keep_or_close(&key, connection, at, progress.heard);
             return answer;
         }
         if closes_at_once {
             return answer;
         }
-        progress.announce().await;
-        let quiet_until = self.watch.policy().quiet_until(&place, sent, at);
+        progress.report_early().await;
+        let quiet_until = self.monitor.policy().quiet_until(&key, sent, at);
         let settled = connection.settling.add(at, quiet_until.min(watched_until));
-        self.rest(&place, connection, at, progress.heard);
-        let by = self.clock.instant(watched_until.saturating_add(SETTLED_WITHIN));
+        self.keep_or_close(&key, connection, at, progress.heard);
+        let by = self.clock.instant(watched_until.saturating_add(SETTLE_REPORT_TIMEOUT));
         let after = tokio::time::timeout_at(by, settled).await;
         progress.heard.after = after.ok().and_then(Result::ok).unwrap_or(After::Ended);
-        progress.heard.suspect = self.suspects(&place);
+        progress.heard.suspect = self.suspects(&key);
         if progress.heard.after == After::Surplus {
-            ConnectionCounts::add(&self.watch.counts.doubtful);
+            ConnectionCounts::add(&self.monitor.counts.doubtful);
         }
         answer
     }
 
-    /// What becomes of a connection after an answer that came then.
-    fn rest(&self, place: &Place, mut connection: Connection, at: Micros, heard: Heard) {
+    /// Keeps or closes a connection after an answer that arrived at `at`.
+    fn keep_or_close(&self, key: &ConnectionKey, mut connection: Connection, at: Micros, heard: Heard) {
         if !connection.framed.read_buffer().is_empty() {
             let surplus = Surplus::read(connection.framed.read_buffer());
             connection.settling.conclude(After::Surplus);
-            return self.watch.surplus(place, &connection, surplus, "answer");
+            return self.monitor.record_surplus(key, &connection, surplus, "answer");
         }
         let carries_more = matches!(heard.extent, Extent::Whole(class) if class.carries_more());
-        let carries_more = carries_more && !connection.closing && !self.watch.policy().withholds(place, at);
-        self.keep(place, connection, (at, carries_more.then_some(at + REST)));
+        let carries_more = carries_more && !connection.closing && !self.monitor.policy().withholds(key, at);
+        self.keep(key, connection, (at, carries_more.then_some(at + REST)));
     }
 
-    /// One request and its answer, until `limit` gives it up.
+    /// Exchanges one request and its answer, until `limit` completes.
     async fn exchange<L>(
-        &self, place: &Place, call: Option<&OutboundCall>, request: impl FnOnce() -> Message,
+        &self, key: &ConnectionKey, call: Option<&OutboundCall>, request: impl FnOnce() -> Message,
         progress: &mut Progress, mut limit: Pin<&mut L>,
-    ) -> Result<Answered, Outcome>
+    ) -> Result<ReceivedAnswer, Outcome>
     where
         L: Future<Output = Outcome>,
     {
-        let (mut connection, since) = tokio::select! {
+        let (mut connection, idle_since) = tokio::select! {
             biased;
-            connection = self.connection(place, progress) => connection?,
+            connection = self.connection(key, progress) => connection?,
             outcome = &mut limit => return Err(outcome),
         };
         progress.heard.position = Position::after(connection.calls);
-        progress.heard.suspect = self.suspects(place);
+        progress.heard.suspect = self.suspects(key);
         (progress.connection, progress.calls_before) = (Some(connection.number), connection.calls);
-        progress.rested = self.clock.now() - since;
-        let withdrawn = async {
+        progress.idle_for = self.clock.now() - idle_since;
+        let disallowed = async {
             match call {
-                Some(call) => self.clearance.withdrawn(call).await,
+                Some(call) => self.send_guard.until_disallowed(call).await,
                 None => std::future::pending().await,
             }
         };
-        tokio::pin!(withdrawn);
-        // Guards against what happened while the connection came up, or a wait for one: a wait that another answer
-        // told, a drain, the end of this process, of the message's time or of its window.
-        if withdrawn.as_mut().now_or_never().is_some() {
-            self.keep(place, connection, (since, Some(since)));
+        tokio::pin!(disallowed);
+        // While the connection was established or waited for, the call may have become forbidden: by a server-requested wait, a
+        // drain, the end of this process, the deadline of the message or its deduplication window.
+        if disallowed.as_mut().now_or_never().is_some() {
+            self.keep(key, connection, (idle_since, Some(idle_since)));
             return Err(Outcome::Skipped);
         }
         connection.calls += 1;
         if connection.framed.feed(&request()).await.is_err() {
             return Err(Outcome::ConnectFailed);
         }
-        // The same while the other side does not read: a request counts from its last byte.
+        // The same applies while the peer does not read: a request counts as sent from its last byte on.
         let flushed = tokio::select! {
             biased;
-            () = &mut withdrawn => Err(Outcome::Skipped),
+            () = &mut disallowed => Err(Outcome::Skipped),
             flushed = connection.framed.flush() => flushed.map_err(|_| Outcome::ConnectFailed),
             outcome = &mut limit => Err(outcome),
         };
@@ -337,48 +343,49 @@
         if let Err(outcome) = flushed
             && !connection.framed.write_buffer().is_empty()
         {
-            // An answer to half a request may say that its message is over.
+            // An answer to an incomplete request may state that its message ended elsewhere.
             let given_up = async { outcome };
             tokio::pin!(given_up);
-            let reader = AnswerReader::new(self.clock, &mut connection, progress, sent);
+            let reader = ResponseReader::new(self.clock, &mut connection, progress, sent);
             let _ = reader.read(given_up).await;
             return Err(outcome);
         }
         progress.heard.written = true;
-        let quiet_until = self.watch.policy().quiet_until(place, sent, sent);
-        let reader = AnswerReader::new(self.clock, &mut connection, progress, quiet_until);
+        let quiet_until = self.monitor.policy().quiet_until(key, sent, sent);
+        let reader = ResponseReader::new(self.clock, &mut connection, progress, quiet_until);
         let answer = reader.read(limit).await?;
-        let watched_until = call.map_or(Micros::MAX, |call| call.deadline.saturating_add(PAST_DEADLINE));
-        let (place, at) = (place.clone(), self.clock.now());
+        let watched_until =
+            call.map_or(Micros::MAX, |call| call.deadline.saturating_add(WATCH_PAST_DEADLINE));
+        let (key, at) = (key.clone(), self.clock.now());
         let repeat = repeat(call.map_or(Effect::Safe, |call| call.effect));
-        Ok(Answered { place, connection, repeat, sent, at, answer, watched_until })
+        Ok(ReceivedAnswer { key, connection, repeat, sent, at, answer, watched_until })
     }
 
-    /// A connection that may carry a call, and since when it rests.
+    /// Returns an idle or a new connection, and since when it is idle.
     async fn connection(
-        &self, place: &Place, progress: &mut Progress,
+        &self, key: &ConnectionKey, progress: &mut Progress,
     ) -> Result<(Connection, Micros), Outcome> {
-        if let Some(resting) = self.resting(place).await {
-            return Ok(resting);
+        if let Some(idle) = self.take_idle(key).await {
+            return Ok(idle);
         }
-        progress.opened = true;
-        Ok((self.open(place).await?, self.clock.now()))
+        progress.new_connection = true;
+        Ok((self.open(key).await?, self.clock.now()))
     }
 
-    /// A new connection, on which nothing lies yet.
-    async fn open(&self, place: &Place) -> Result<Connection, Outcome> {
-        let stream = self.connect(&place.0).await?;
-        let number = self.watch.opened.fetch_add(1, Ordering::Relaxed);
-        ConnectionCounts::add(&self.watch.counts.opened);
-        let framed = Framed::new(stream, AnswerCodec::new(MOST_BODY));
+    /// Opens a connection, on which no byte may have arrived yet.
+    async fn open(&self, key: &ConnectionKey) -> Result<Connection, Outcome> {
+        let stream = self.connect(&key.0).await?;
+        let number = self.monitor.opened.fetch_add(1, Ordering::Relaxed);
+        ConnectionCounts::add(&self.monitor.counts.opened);
+        let framed = Framed::new(stream, ResponseCodec::new(MAX_BODY_BYTES));
         let connection =
             Connection { framed, number, calls: 0, closing: false, settling: Settling::default() };
-        // Guards against taking what came before a request for its answer.
-        if !connection.quiet() {
+        // Bytes that arrived before the request must not be read as its answer.
+        if !connection.is_quiet() {
             debug!(
-                endpoint = &*place.0,
+                endpoint = &*key.0,
                 connection = number,
-                "closed before its first call, as it was not quiet"
+                "new connection closed: bytes arrived before the first request"
             );
             return Err(Outcome::ConnectFailed);
         }
@@ -388,8 +395,8 @@
     /// Makes a connection. A failure of this machine's own is tried again; where it lasts, nothing was sent and nothing
     /// learned of the other side.
     async fn connect(&self, address: &str) -> Result<Stream, Outcome> {
-        let by = self.clock.now() + self.connect_within;
-        let mut interval = LOCAL_RETRY;
+        let by = self.clock.now() + self.connect_timeout;
+        let mut interval = LOCAL_RETRY_INTERVAL;
         loop {
             let connect = TcpStream::connect(address);
             match tokio::time::timeout_at(self.clock.instant(by), connect).await {
@@ -400,7 +407,7 @@
                 Ok(Err(error)) if failed_locally(&error) => {
                     let again = self.clock.now() + interval;
                     if again >= by {
-                        warn!(endpoint = address, "no connection can be made from here: {error}");
+                        warn!(endpoint = address, "cannot connect because of a local error: {error}");
                         return Err(Outcome::Skipped);
                     }
                     tokio::time::sleep_until(self.clock.instant(again)).await;
@@ -415,63 +422,63 @@
         }
     }
 
-    /// A connection that may carry one more call, that the other side has not ended and on which nothing is left to
-    /// read, and since when it rests.
-    async fn resting(&self, place: &Place) -> Option<(Connection, Micros)> {
+    /// Takes an idle connection that the peer has not closed and on which nothing is left to read. Also returns since when it is
+    /// idle.
+    async fn take_idle(&self, key: &ConnectionKey) -> Option<(Connection, Micros)> {
         loop {
             let now = self.clock.now();
-            let withheld = self.watch.policy().withholds(place, now);
-            let taken = self.pool().take(place, now)?;
+            let withheld = self.monitor.policy().withholds(key, now);
+            let taken = self.pool().take(key, now)?;
             if withheld {
-                ConnectionCounts::add(&self.watch.counts.withheld);
+                ConnectionCounts::add(&self.monitor.counts.withheld);
                 return None;
             }
             let Some((connection, since)) = taken.connection().await else { continue };
-            // Guards against a call on a connection that the endpoint has closed, which would end as a reset,
-            // and against taking what was left on it for the call's answer.
-            if self.clock.now() - since < self.idle_for && connection.quiet() {
+            // A call on a connection that the endpoint has closed would end as a reset, and bytes left on it would be read as the
+            // answer of the call.
+            if self.clock.now() - since < self.max_idle_time && connection.is_quiet() {
                 return Some((connection, since));
             }
         }
     }
 
-    fn pool(&self) -> MutexGuard<'_, Pool<Place>> {
+    fn pool(&self) -> MutexGuard<'_, Pool<ConnectionKey>> {
         self.pool.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Keeps a connection that rests since then, and from when on it may carry a call.
-    fn keep(&self, place: &Place, connection: Connection, times: (Micros, Option<Micros>)) {
-        let (watch, broken_place) = (self.watch.clone(), place.clone());
-        let broken = move |connection: &Connection, how| watch.broken(&broken_place, connection, how);
-        let most = self.most_idle.load(Ordering::Relaxed);
-        self.pool().keep(self.clock, place, connection, times, most, broken);
+    /// Keeps an idle connection. `times` are since when it is idle and from when on it may carry a call.
+    fn keep(&self, key: &ConnectionKey, connection: Connection, times: (Micros, Option<Micros>)) {
+        let (monitor, idle_key) = (self.monitor.clone(), key.clone());
+        let on_end = move |connection: &Connection, end| monitor.idle_ended(&idle_key, connection, end);
+        let max_idle = self.max_idle.load(Ordering::Relaxed);
+        self.pool().keep(self.clock, key, connection, times, max_idle, on_end);
     }
 
-    /// Keeps so many idle connections from now on; closes all where that is none.
-    pub fn keep_at_most(&self, most: usize) {
-        self.most_idle.store(most - most / SETTLING_PART, Ordering::Relaxed);
-        if most == 0 {
+    /// Sets the maximum number of idle connections. Closes them all if that is 0.
+    pub fn set_max_idle(&self, max_idle: usize) {
+        self.max_idle.store(max_idle - max_idle / SETTLING_DIVISOR, Ordering::Relaxed);
+        if max_idle == 0 {
             *self.pool() = Pool::default();
         }
     }
 
     /// Closes the idle connections to an endpoint.
-    pub fn close(&self, target: TargetId) {
-        self.pool().retain(|(_, leads_to), _| *leads_to != Some(target));
+    pub fn close_idle(&self, target: TargetId) {
+        self.pool().retain(|(_, endpoint), _| *endpoint != Some(target));
     }
 
-    /// Closes the connections that have been idle for too long; tells when to look again.
-    pub fn retire(&self) -> Micros {
-        let (now, idle_for) = (self.clock.now(), self.idle_for);
-        self.pool().retain(|_, since| now - since < idle_for);
-        now + (idle_for / RETIRE_PART).max(1000)
+    /// Closes the connections that have been idle for too long. Returns when to call it again.
+    pub fn close_expired(&self) -> Micros {
+        let (now, max_idle_time) = (self.clock.now(), self.max_idle_time);
+        self.pool().retain(|_, since| now - since < max_idle_time);
+        now + (max_idle_time / IDLE_MARGIN_DIVISOR).max(1000)
     }
 }
 
-/// The wait that an answer tells, if it tells one.
-pub fn full(answer: &Message) -> Option<Micros> {
+/// Returns the wait requested by the `Retry-After` header of an answer, in microseconds.
+pub fn retry_after(answer: &Message) -> Option<Micros> {
     let wait = answer.header("Retry-After").and_then(|text| text.parse::<f64>().ok());
-    // A day at the most: it guards the sums made with it.
+    // At most a day, so that sums with it cannot overflow.
     let wait = wait.filter(|wait| wait.is_finite() && *wait > 0.0).map(|wait| wait.min(86_400.0));
     wait.map(|wait| (wait * 1e6).ceil() as Micros)
 }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,6 +1,5 @@
-//! Discovery: keeps the destination set fresh by a watch that is renewed at once, and takes the platform the
-//! notices. Owns the two connections to the platform's agent, and moves both when a new configuration names
-//! another address. It must never judge an endpoint's health.
+//! Discovery: keeps the destination set up to date by a continuous watch, and sends non-delivery reports to the platform. Both
+//! connections to the platform's agent move when a new configuration names another address. Endpoint health is not judged here.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, Ordering};
@@ -12,7 +11,7 @@
 use tokio_util::codec::Framed;
 
 use super::http::{Codec, Message, Start};
-use super::quiet;
+use super::is_quiet;
 use super::stream::Stream;
 use tracing::{debug, info, warn};
 
@@ -22,104 +21,111 @@
 use crate::interface::{ListForm, Listed, Micros};
 use crate::wire::RawEntry;
 
-/// A list may have so many bytes.
-const MOST_LIST: usize = 4 << 20;
-/// How long a watch waits for news. One that has fallen silent is found out only after that.
-pub const WATCH: Micros = 20_000_000;
-/// The same where an agent on the relay's own machine is pushed the list: asking it costs nothing.
-pub const WATCH_PUSHED: Micros = 4_000_000;
-/// An answer that is so late will not come.
-const SILENCE: Micros = 1_000_000;
-/// What discovery has counts as told so long after a call that failed, or after one that fell silent was begun; where
-/// such a call may wait, at least so long after its wait.
-const TOLD_WITHIN: Micros = 6_000_000;
-const TOLD_AFTER_WAIT: Micros = 2_000_000;
-/// Part of that, for the runtime to act on the answer.
-const ACTS_WITHIN: Micros = 500_000;
-/// Discovery is asked about once in so long by all relays together, where it does not answer.
-const PAUSE: Micros = 20_000;
-/// Shortest time between two log lines about reports that are not acknowledged, in microseconds.
-const WARN_EVERY: Micros = 1_000_000;
-/// Most doublings of a relay's pause.
-const MOST_DOUBLINGS: u32 = 4;
+/// Maximum size of a list.
+const MAX_LIST_BYTES: usize = 4 << 20;
+/// Time for which a watch waits for changes, in microseconds. A watch that has fallen silent is noticed only after that.
+pub const WATCH_WAIT: Micros = 20_000_000;
+/// The same where the agent runs on the relay's machine and gets the list pushed, in microseconds: requests to it are cheap.
+pub const LOCAL_WATCH_WAIT: Micros = 4_000_000;
+/// Time after which a late answer is no longer expected, in microseconds.
+const ANSWER_TIMEOUT: Micros = 1_000_000;
+/// Time after which changes are deemed to be known to the relay, in microseconds: counted from the end of a failed request, or
+/// from the start of one without an answer.
+const KNOWN_WITHIN: Micros = 6_000_000;
+/// The same after the wait of a watch without an answer, if that is later, in microseconds.
+const KNOWN_AFTER_WAIT: Micros = 2_000_000;
+/// Part of that time for the runtime to apply the answer, in microseconds.
+const APPLY_TIME: Micros = 500_000;
+/// Approximate interval of the requests of all relays together while discovery does not answer, in microseconds.
+const REQUEST_INTERVAL: Micros = 20_000;
+/// Minimum interval between warnings about unacknowledged reports, in microseconds.
+const WARN_INTERVAL: Micros = 1_000_000;
+/// Maximum number of doublings of a relay's pause.
+const MAX_DOUBLINGS: u32 = 4;
 
-/// The pauses between calls that fail. Guards discovery against a fleet: a hundred relays that are turned away
-/// together, and ask again in step or soon, keep it from answering any of them.
+/// Pauses between failed requests. Protects discovery from a fleet: a hundred relays that are refused together, and retry soon or in
+/// step, would keep it from answering any of them.
 #[derive(Clone, Copy, Debug)]
-pub struct BackOff {
+pub struct Backoff {
     seed: u64,
     relays: u32,
     grace: Micros,
     failures: u32,
-    goes_on: bool,
+    resumes: bool,
 }
 
-impl BackOff {
-    /// The pauses of one of so many relays; the seed tells it from others. Sends to an endpoint have to cease within the
-    /// grace of the news that it drains, which counts as told while a relay has not asked.
+impl Backoff {
+    /// Creates the pauses of one of `relays` relays. `seed` differs between relays. Calls to an endpoint must stop within `grace`
+    /// after its drain is announced, even if the relay has not requested the list yet.
     pub fn new(relays: u32, seed: u64, grace: Micros) -> Self {
-        BackOff { seed, relays, grace, failures: 0, goes_on: false }
+        Backoff { seed, relays, grace, failures: 0, resumes: false }
     }
 
-    /// The pauses of one that goes on where another process was watching: the first call comes at once.
+    /// Continues the watch of another process: the first request is sent at once.
     #[must_use]
-    pub fn watching(mut self) -> Self {
-        self.goes_on = true;
+    pub fn resuming(mut self) -> Self {
+        self.resumes = true;
         self
     }
 
-    /// Before the first call: relays of one release start together. Not for longer than half the grace, however many
-    /// they are: what drains meanwhile would be called after it.
-    pub fn start(&self) -> Micros {
-        let part = if self.goes_on { 0.0 } else { draw::unit(self.seed) };
-        let spread = Micros::from(self.relays.saturating_sub(1)) * PAUSE;
-        (part * spread.min(self.grace / 2) as f64) as Micros
+    /// Returns the pause before the first request: relays of one release start together. It is at most half the grace, whatever
+    /// their number; otherwise an endpoint that drains meanwhile would be called after its grace.
+    pub fn initial_delay(&self) -> Micros {
+        let fraction = if self.resumes { 0.0 } else { draw::unit(self.seed) };
+        let spread = Micros::from(self.relays.saturating_sub(1)) * REQUEST_INTERVAL;
+        (fraction * spread.min(self.grace / 2) as f64) as Micros
     }
 
-    /// A call was answered.
-    pub fn answered(&mut self) {
+    /// Resets the pauses after an answer.
+    pub fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// A call failed; the pause until the next, `most` at the longest. However many relays there are, what changes
-    /// counts as told by a time of its own; the pauses stay spread below that.
-    pub fn failed(&mut self, most: Micros) -> Micros {
-        let usual = f64::from(self.relays.max(2) << self.failures.min(MOST_DOUBLINGS)) * PAUSE as f64;
+    /// Returns the pause after a failed request, at most `limit`. Changes are deemed to be known after a time that does not depend on
+    /// the number of relays, so the pauses are spread below that limit.
+    pub fn next_pause(&mut self, limit: Micros) -> Micros {
+        let usual =
+            f64::from(self.relays.max(2) << self.failures.min(MAX_DOUBLINGS)) * REQUEST_INTERVAL as f64;
         self.failures += 1;
         self.seed = self.seed.wrapping_add(u64::from(self.failures));
-        (usual.min(most.max(0) as f64 / 1.5) * (0.5 + draw::unit(self.seed))) as Micros
+        (usual.min(limit.max(0) as f64 / 1.5) * (0.5 + draw::unit(self.seed))) as Micros
     }
 }
 
-/// The longest pause after a call that was begun then, might wait so long, and failed by now: by its answer or a break,
-/// or by silence. The next call has to be answered before what changed meanwhile counts as told.
-pub fn longest_pause(now: Micros, began: Micros, wait: Micros, silent: bool) -> Micros {
-    let told = if silent { began + TOLD_WITHIN.max(wait + TOLD_AFTER_WAIT) } else { now + TOLD_WITHIN };
-    (told - SILENCE - ACTS_WITHIN - now).max(0)
+/// Returns the maximum pause after a request that began at `began`, could wait for `wait` and failed at `now`. `silent` is whether it
+/// failed by a timeout rather than by its answer or a broken connection. The next request has to be answered before changes since
+/// then are deemed to be known.
+pub fn max_pause(now: Micros, began: Micros, wait: Micros, silent: bool) -> Micros {
+    let known_at =
+        if silent { began + KNOWN_WITHIN.max(wait + KNOWN_AFTER_WAIT) } else { now + KNOWN_WITHIN };
+    (known_at - ANSWER_TIMEOUT - APPLY_TIME - now).max(0)
 }
 
-/// A list or changes to one, as the agent tells it.
+/// A list, or changes to one, as the agent sends it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
-    /// Its version.
+pub struct MemberList {
+    /// Version of the list.
     pub revision: i64,
-    /// The whole list.
+    /// Whether the list is complete.
     pub complete: bool,
     /// The entries.
     pub members: Vec<Member>,
 }
 
-/// Reads a list in the agent's form; the error names the faulty key.
-pub fn told(value: &Value) -> Result<Told, String> {
+/// Parses a list in the agent's format.
+///
+/// # Errors
+/// A text that names the invalid key.
+pub fn parse_list(value: &Value) -> Result<MemberList, String> {
     let revision = value.get("revision").and_then(Value::as_i64).ok_or("revision is not a whole number")?;
     let complete = value.get("complete").and_then(Value::as_bool).ok_or("complete is not true or false")?;
     let members = value.get("members").and_then(Value::as_array).ok_or("members is not a list")?;
     let members = members.iter().enumerate();
-    let members = members.map(|(i, entry)| member(entry).map_err(|key| format!("members.{i}.{key}")));
-    Ok(Told { revision, complete, members: members.collect::<Result<_, _>>()? })
+    let members = members.map(|(i, entry)| parse_member(entry).map_err(|key| format!("members.{i}.{key}")));
+    Ok(MemberList { revision, complete, members: members.collect::<Result<_, _>>()? })
 }
 
-fn member(value: &Value) -> Result<Member, String> {
+fn parse_member(value: &Value) -> Result<Member, String> {
     let text = |key: &str| value.get(key).and_then(Value::as_str).ok_or(format!("{key} is not a text"));
     let listed = match text("phase")? {
         "Ready" => Listed::InService,
@@ -137,22 +143,22 @@
 
 type Connection = Framed<Stream, Codec>;
 
-/// Where something is to be asked or told, as the newest configuration has it.
+/// Address of the agent in the newest configuration.
 pub type Address = watch::Receiver<Option<Arc<str>>>;
 
-/// One call on a kept connection, which is dropped if it fails or is not answered by then. One on which something lies
-/// that nobody asked for is not used.
-async fn ask(
+/// Makes a request on the kept connection, which is dropped if the request fails or is not answered by `by`. A connection on which
+/// surplus bytes arrived is not used.
+async fn send_request(
     clock: Clock, address: &str, kept: &mut Option<Connection>, request: &Message, by: Micros,
 ) -> Option<Message> {
     let answer = async {
-        let quiet = |kept: &Connection| kept.read_buffer().is_empty() && quiet(kept.get_ref());
+        let quiet = |kept: &Connection| kept.read_buffer().is_empty() && is_quiet(kept.get_ref());
         let mut connection = match kept.take().filter(quiet) {
             Some(connection) => connection,
             None => {
                 let socket = TcpStream::connect(address).await.ok()?;
                 let _ = socket.set_nodelay(true);
-                Framed::new(Stream::new(socket), Codec::client(MOST_LIST))
+                Framed::new(Stream::new(socket), Codec::client(MAX_LIST_BYTES))
             }
         };
         connection.send(request).await.ok()?;
@@ -165,14 +171,14 @@
     tokio::time::timeout_at(clock.instant(by), answer).await.ok().flatten()
 }
 
-/// Follows the list from `revision` on, at whatever address is the newest, by watches that wait so long.
-pub async fn follow(
-    clock: Clock, mut address: Address, held: Arc<AtomicI64>, (mut back_off, watch): (BackOff, Micros),
+/// Keeps the list up to date from the revision in `held` on, at the newest address, by watches that wait for `watch` microseconds.
+pub async fn watch_list(
+    clock: Clock, mut address: Address, held: Arc<AtomicI64>, (mut backoff, watch): (Backoff, Micros),
     inputs: mpsc::Sender<Input>,
 ) {
     let mut kept = None;
-    pause(clock, &mut address, back_off.start()).await;
-    let (mut gap, mut failing) = (false, false);
+    pause(clock, &mut address, backoff.initial_delay()).await;
+    let (mut request_all, mut failing) = (false, false);
     let mut revision = held.load(Ordering::Relaxed);
     loop {
         let Some(at) = address.borrow_and_update().clone() else {
@@ -181,66 +187,66 @@
             }
             continue;
         };
-        // A whole list comes at once or, while discovery is down, not at all: it is then asked for anew. So does what
-        // was missed, after a call that failed.
-        let wait = if gap || failing { 0 } else { watch };
-        let path = match gap {
+        // A complete list is answered at once or, while discovery is down, not at all, so there is no point in waiting. The same
+        // goes for changes that were missed because of a failed request.
+        let wait = if request_all || failing { 0 } else { watch };
+        let path = match request_all {
             true => "/registry/instances".to_string(),
             false => format!("/registry/instances?index={revision}&wait={}", wait / 1000),
         };
         let request = Message::request("GET", &path).with("Host", &*at);
         let began = clock.now();
-        let by = began + wait + SILENCE;
+        let by = began + wait + ANSWER_TIMEOUT;
         let answer = tokio::select! {
-            answer = ask(clock, &at, &mut kept, &request, by) => answer,
-            // What the old address had left to tell, the new one tells with the whole list.
+            answer = send_request(clock, &at, &mut kept, &request, by) => answer,
+            // The complete list of the new address includes all changes that the old one did not deliver.
             Ok(()) = address.changed() => {
-                (gap, kept) = (true, None);
+                (request_all, kept) = (true, None);
                 continue;
             }
         };
-        debug!(path, got = ?answer.as_ref().map(|a| (a.start.clone(), a.body.len())), "list asked");
+        debug!(path, got = ?answer.as_ref().map(|a| (a.start.clone(), a.body.len())), "list requested");
         let answer = answer.filter(|answer| answer.start == Start::Response(200));
         let read = answer.map(|a| serde_json::from_slice::<Value>(&a.body).map_err(|e| e.to_string()));
-        match read.map(|value| value.and_then(|value| told(&value))) {
-            Some(Ok(told)) => {
-                back_off.answered();
-                (gap, failing) = (false, false);
-                // Guards against a spin where an agent does not wait before it tells nothing.
-                if wait > 0 && told.members.is_empty() && clock.now() < began + PAUSE {
-                    pause(clock, &mut address, PAUSE).await;
+        match read.map(|value| value.and_then(|value| parse_list(&value))) {
+            Some(Ok(list)) => {
+                backoff.reset();
+                (request_all, failing) = (false, false);
+                // Prevents a busy loop with an agent that answers without changes and without waiting.
+                if wait > 0 && list.members.is_empty() && clock.now() < began + REQUEST_INTERVAL {
+                    pause(clock, &mut address, REQUEST_INTERVAL).await;
                 }
-                // One that is older than what is held tells nothing new, and may be a copy of an earlier answer.
-                if told.revision < revision {
+                // A list older than the held one has nothing new, and may be a duplicate of an earlier answer.
+                if list.revision < revision {
                     kept = None;
-                    pause(clock, &mut address, PAUSE).await;
+                    pause(clock, &mut address, REQUEST_INTERVAL).await;
                     continue;
                 }
-                revision = told.revision;
-                let form = if told.complete { ListForm::All } else { ListForm::Changes };
-                if (told.complete || !told.members.is_empty())
-                    && inputs.send(Input::Listed(form, told.members)).await.is_err()
+                revision = list.revision;
+                let form = if list.complete { ListForm::All } else { ListForm::Changes };
+                if (list.complete || !list.members.is_empty())
+                    && inputs.send(Input::Listed(form, list.members)).await.is_err()
                 {
                     return;
                 }
-                // Only once the runtime has it, so that another process is not told of news that is still on its way.
+                // Only after the runtime has the list: another process that takes over must not skip changes that are still queued.
                 held.store(revision, Ordering::Relaxed);
             }
             failed => {
                 if let Some(Err(why)) = failed {
                     warn!("discovery: {why}");
                 }
-                // The version held says what was missed; a whole list of every relay is what overbooks discovery.
+                // The held revision is enough to get what was missed. Complete lists for every relay would overload discovery.
                 (kept, failing) = (None, true);
                 let now = clock.now();
-                let most = longest_pause(now, began, wait, now >= by);
-                pause(clock, &mut address, back_off.failed(most)).await;
+                let limit = max_pause(now, began, wait, now >= by);
+                pause(clock, &mut address, backoff.next_pause(limit)).await;
             }
         }
     }
 }
 
-/// Waits a little, or until there is another address.
+/// Waits for a time, or until the address changes.
 async fn pause(clock: Clock, address: &mut Address, span: Micros) {
     tokio::select! {
         () = tokio::time::sleep_until(clock.instant(clock.now() + span)) => {}
@@ -248,39 +254,39 @@
     }
 }
 
-/// Takes notices to the newest address, each until it is acknowledged. Each request has a connection of its own, so that
-/// an acknowledgement which comes twice is none of the next request's.
-pub async fn notify(
+/// Sends non-delivery reports to the newest address until they are acknowledged. Each request has its own connection, so that a
+/// duplicate acknowledgement is not taken for that of the next request.
+pub async fn send_reports(
     clock: Clock, mut address: Address, mut notices: mpsc::UnboundedReceiver<Notice>,
     inputs: mpsc::Sender<Input>,
 ) {
     let mut warn_at = Micros::MIN;
     let mut pending = Vec::new();
     while notices.recv_many(&mut pending, 64).await > 0 {
-        let lines: String = pending.iter().map(line).collect();
+        let lines: String = pending.iter().map(report_line).collect();
         loop {
             let Some(at) = address.borrow_and_update().clone() else {
-                // With nobody to tell, an end is told by the record and the log.
+                // Without an agent, the record and the log are the only report.
                 lines.lines().for_each(|line| info!("ended: {line}"));
                 break;
             };
             let mut request = Message::request("POST", "/reports").with("Host", &*at);
             request.body = lines.clone().into();
-            let by = clock.now() + SILENCE;
-            let mut own = None;
+            let by = clock.now() + ANSWER_TIMEOUT;
+            let mut connection = None;
             let answer = tokio::select! {
-                answer = ask(clock, &at, &mut own, &request, by) => answer,
-                // What the old address may have heard does no harm at the new one.
+                answer = send_request(clock, &at, &mut connection, &request, by) => answer,
+                // A report that the old address also received does no harm.
                 Ok(()) = address.changed() => continue,
             };
             match answer.map(|answer| answer.start) {
                 Some(Start::Response(204)) => break,
                 other => {
                     if clock.now() >= warn_at {
-                        warn_at = clock.now() + WARN_EVERY;
-                        warn!("reports are not acknowledged, the last answer was {other:?}; sent again");
+                        warn_at = clock.now() + WARN_INTERVAL;
+                        warn!("non-delivery reports not acknowledged, last answer: {other:?}; sending again");
                     }
-                    pause(clock, &mut address, PAUSE).await;
+                    pause(clock, &mut address, REQUEST_INTERVAL).await;
                 }
             }
         }
@@ -291,7 +297,7 @@
     }
 }
 
-fn line(notice: &Notice) -> String {
+fn report_line(notice: &Notice) -> String {
     let outcome = if notice.handed_back { "handed_back" } else { "given_up" };
     let mut object = json!({"message": notice.id, "outcome": outcome});
     if let (Some(ms), Some(object)) = (notice.retry_in_ms, object.as_object_mut()) {
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 framing: bytes to messages and back, as tokio-util codecs over httparse. Owns the limits on what
-//! is read into memory. It must never open a socket, know a path or tell what a status means.
+//! HTTP/1.1 framing as tokio-util codecs over httparse. Enforces the limits on what is read into memory. Sockets, paths and the
+//! meaning of a status are the business of the callers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -8,81 +8,81 @@
 use bytes::{Buf, Bytes, BytesMut};
 use tokio_util::codec::{Decoder, Encoder};
 
-/// A body may have so many bytes.
-pub const MOST_BODY: usize = 64 * 1024;
-/// A head may have so many bytes.
-const MOST_HEAD: usize = 16 * 1024;
-/// And so many header lines.
-const MOST_HEADERS: usize = 64;
-/// The line of a chunk's size may have so many bytes.
-const MOST_CHUNK_LINE: usize = 256;
-/// So many interim answers may come before the real one.
-const MOST_INTERIM: usize = 16;
-/// A reading buffer that has grown over this is given back once nothing is left in it.
-const KEPT_BUFFER: usize = 16 * 1024;
-
-/// What could not be read.
+/// Maximum size of a body.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Maximum size of a head.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Maximum number of header lines.
+const MAX_HEADERS: usize = 64;
+/// Maximum size of the size line of a chunk.
+const MAX_CHUNK_LINE_BYTES: usize = 256;
+/// Maximum number of interim (1xx) responses before the final one.
+const MAX_INTERIM: usize = 16;
+/// An empty read buffer with a larger capacity is freed, in bytes.
+const MAX_KEPT_BUFFER: usize = 16 * 1024;
+
+/// Error while reading or writing a message.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
-    /// The bytes are no HTTP/1.1 message.
+    /// The bytes are not a valid HTTP/1.1 message.
     #[error("malformed: {0}")]
     Malformed(&'static str),
-    /// The connection ended in the middle of it.
+    /// The connection ended within a message.
     #[error("malformed: ended early")]
     EndedEarly,
-    /// The body is over the limit.
+    /// The body exceeds the limit, in bytes.
     #[error("the body is over {0} bytes")]
     TooLarge(usize),
-    /// There is no memory left for its body just now.
+    /// The memory budget for bodies is exhausted.
     #[error("as many bytes being read as may be")]
     NoMemory,
-    /// It did not come in time.
+    /// The request did not arrive in time.
     #[error("the request did not come in time")]
-    Late,
-    /// The connection broke.
+    Timeout,
+    /// I/O error on the connection.
     #[error("connection: {0}")]
     Io(#[from] std::io::Error),
 }
 
-/// The first line.
+/// The start line of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Start {
-    /// Of a request: method and path.
+    /// Request line: method and path.
     Request(String, String),
-    /// Of a response: the status.
+    /// Status line: the status.
     Response(u16),
 }
 
-/// A whole message.
+/// A complete message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// The first line.
+    /// The start line.
     pub start: Start,
     /// Header lines, in order.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Bytes,
-    /// The connection carries on after it.
+    /// Whether the connection stays open after it.
     pub keep_alive: bool,
 }
 
-/// The header that carries a message's idempotency key, from its client and to its endpoint.
+/// Name of the header with the idempotency key of a message, from its client and to its endpoint.
 pub const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
 
 impl Message {
-    /// A request with no headers and body yet.
+    /// Creates a request without headers and body.
     pub fn request(method: &str, path: &str) -> Self {
         let start = Start::Request(method.into(), path.into());
         Message { start, headers: vec![], body: Bytes::new(), keep_alive: true }
     }
 
-    /// A response.
+    /// Creates a response.
     pub fn response(status: u16, body: impl Into<Bytes>) -> Self {
         let start = Start::Response(status);
         Message { start, headers: vec![], body: body.into(), keep_alive: true }
     }
 
-    /// With one more header line.
+    /// Adds a header line.
     pub fn with(mut self, name: &str, value: impl Into<String>) -> Self {
         self.headers.push((name.into(), value.into()));
         self
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The first header of that name.
+    /// Returns the first header with a name.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
     }
@@ -106,68 +106,69 @@
     Head,
     Sized(Message, usize),
     Chunked(Message, BytesMut),
-    /// After the last chunk: trailers up to an empty line.
+    /// After the last chunk: trailers, which end with an empty line.
     Trailers(Message, BytesMut),
+    /// The body ends with the connection.
     UntilEnd(Message),
 }
 
-/// The bytes that bodies which are being read may take, on all connections together.
+/// Memory for the bodies that are being read on all connections together, in bytes.
 #[derive(Debug)]
-pub struct Budget(AtomicUsize);
+pub struct MemoryBudget(AtomicUsize);
 
-/// A part of a budget, given back when it is dropped.
-struct Share {
-    of: Arc<Budget>,
+/// Memory reserved in a budget, released on drop.
+struct Reservation {
+    budget: Arc<MemoryBudget>,
     bytes: usize,
 }
 
-impl Budget {
-    /// Of so many bytes.
+impl MemoryBudget {
+    /// Creates a budget of a size in bytes.
     pub fn new(bytes: usize) -> Arc<Self> {
-        Arc::new(Budget(AtomicUsize::new(bytes)))
+        Arc::new(MemoryBudget(AtomicUsize::new(bytes)))
     }
 
-    fn share(self: &Arc<Self>, bytes: usize) -> Result<Share, HttpError> {
-        let left = |left: usize| left.checked_sub(bytes);
-        let taken = self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, left);
-        taken.map(|_| Share { of: self.clone(), bytes }).map_err(|_| HttpError::NoMemory)
+    fn reserve(self: &Arc<Self>, bytes: usize) -> Result<Reservation, HttpError> {
+        let subtract = |available: usize| available.checked_sub(bytes);
+        let reserved = self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, subtract);
+        reserved.map(|_| Reservation { budget: self.clone(), bytes }).map_err(|_| HttpError::NoMemory)
     }
 }
 
-impl Drop for Share {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.of.0.fetch_add(self.bytes, Ordering::Relaxed);
+        self.budget.0.fetch_add(self.bytes, Ordering::Relaxed);
     }
 }
 
-/// Frames one side of a connection.
+/// Codec for one side of a connection.
 pub struct Codec {
     reads_requests: bool,
-    most_body: usize,
-    budget: Option<Arc<Budget>>,
-    /// The part of the budget that the body being read takes.
-    share: Option<Share>,
+    max_body: usize,
+    budget: Option<Arc<MemoryBudget>>,
+    /// Memory reserved for the body that is being read.
+    reservation: Option<Reservation>,
     state: State,
 }
 
 impl Codec {
-    /// For a connection on which requests come in, with bodies of so many bytes at most.
-    pub fn server(most_body: usize, budget: Arc<Budget>) -> Self {
-        Codec { reads_requests: true, budget: Some(budget), ..Codec::client(most_body) }
+    /// Creates a codec that reads requests with bodies of at most `max_body` bytes.
+    pub fn server(max_body: usize, budget: Arc<MemoryBudget>) -> Self {
+        Codec { reads_requests: true, budget: Some(budget), ..Codec::client(max_body) }
     }
 
-    /// For a connection on which responses come in.
-    pub fn client(most_body: usize) -> Self {
-        Codec { reads_requests: false, most_body, budget: None, share: None, state: State::Head }
+    /// Creates a codec that reads responses with bodies of at most `max_body` bytes.
+    pub fn client(max_body: usize) -> Self {
+        Codec { reads_requests: false, max_body, budget: None, reservation: None, state: State::Head }
     }
 
-    fn head(&mut self, src: &mut BytesMut) -> Result<Option<State>, HttpError> {
-        let mut lines = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    fn read_head(&mut self, src: &mut BytesMut) -> Result<Option<State>, HttpError> {
+        let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let text = &src[..];
         let (used, start, version) = if self.reads_requests {
             let mut request = httparse::Request::new(&mut lines);
             match request.parse(text).map_err(|_| HttpError::Malformed("head"))? {
-                httparse::Status::Partial => return partial(src),
+                httparse::Status::Partial => return need_more(src),
                 httparse::Status::Complete(used) => {
                     let method = request.method.unwrap_or_default().to_string();
                     let path = request.path.unwrap_or_default().to_string();
@@ -177,7 +178,7 @@
         } else {
             let mut response = httparse::Response::new(&mut lines);
             match response.parse(text).map_err(|_| HttpError::Malformed("head"))? {
-                httparse::Status::Partial => return partial(src),
+                httparse::Status::Partial => return need_more(src),
                 httparse::Status::Complete(used) => {
                     (used, Start::Response(response.code.unwrap_or(0)), response.version)
                 }
@@ -188,7 +189,7 @@
             match std::str::from_utf8(line.value) {
                 Ok(value) => headers.push((line.name.to_string(), value.trim().to_string())),
                 Err(_) if self.reads_requests => return Err(HttpError::Malformed("header value")),
-                // One line of an answer that cannot be read, as of a load report, spoils that line alone.
+                // An invalid header line of a response, such as a load report, is ignored.
                 Err(_) => {}
             }
         }
@@ -205,7 +206,7 @@
             .collect();
         let mut codings = message.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case("Transfer-Encoding"));
         let coding = codings.next().map(|(_, value)| value.to_ascii_lowercase());
-        // Guards against two readers of one stream disagreeing on where a message ends.
+        // Prevents request smuggling: two readers of one stream must agree on where a message ends.
         if codings.next().is_some() {
             return Err(HttpError::Malformed("several Transfer-Encodings"));
         }
@@ -216,17 +217,17 @@
             if coding != "chunked" {
                 return Err(HttpError::Malformed("unknown Transfer-Encoding"));
             }
-            self.share(self.most_body)?;
+            self.reserve(self.max_body)?;
             return Ok(Some(State::Chunked(message, BytesMut::new())));
         }
         if let Some(length) = lengths.first() {
             let digits = !length.is_empty() && length.bytes().all(|b| b.is_ascii_digit());
             let length = length.parse::<usize>().ok().filter(|_| digits);
             let length = length.ok_or(HttpError::Malformed("Content-Length"))?;
-            if length > self.most_body {
-                return Err(HttpError::TooLarge(self.most_body));
+            if length > self.max_body {
+                return Err(HttpError::TooLarge(self.max_body));
             }
-            self.share(length)?;
+            self.reserve(length)?;
             return Ok(Some(State::Sized(message, length)));
         }
         let empty = self.reads_requests
@@ -234,8 +235,8 @@
         Ok(Some(if empty { State::Sized(message, 0) } else { State::UntilEnd(message) }))
     }
 
-    /// The head of the message that is being read, once it is whole.
-    fn head_read(&self) -> Option<&Message> {
+    /// Returns the head of the message that is being read, once it is complete.
+    fn current_head(&self) -> Option<&Message> {
         match &self.state {
             State::Head => None,
             State::Sized(head, _) | State::Chunked(head, _) | State::Trailers(head, _) => Some(head),
@@ -243,12 +244,12 @@
         }
     }
 
-    fn share(&mut self, bytes: usize) -> Result<(), HttpError> {
-        self.share = self.budget.as_ref().map(|budget| budget.share(bytes)).transpose()?;
+    fn reserve(&mut self, bytes: usize) -> Result<(), HttpError> {
+        self.reservation = self.budget.as_ref().map(|budget| budget.reserve(bytes)).transpose()?;
         Ok(())
     }
 
-    /// One step; `true` when the state moved on and another may follow.
+    /// Takes one step. Returns whether the state changed, so that another step may follow, and the message if it is complete.
     fn step(&mut self, src: &mut BytesMut, ended: bool) -> Result<(bool, Option<Message>), HttpError> {
         let state = std::mem::replace(&mut self.state, State::Head);
         match state {
@@ -256,7 +257,7 @@
                 if src.is_empty() {
                     return Ok((false, None));
                 }
-                match self.head(src)? {
+                match self.read_head(src)? {
                     None => Ok((false, None)),
                     Some(state) => {
                         self.state = state;
@@ -265,10 +266,10 @@
                 }
             }
             State::Sized(mut message, length) if src.len() >= length => {
-                // Copied, so that a message which is held does not hold the connection's whole buffer.
+                // Copied so that a message does not keep the whole buffer of the connection alive.
                 message.body = Bytes::copy_from_slice(&src[..length]);
                 src.advance(length);
-                if src.is_empty() && src.capacity() > KEPT_BUFFER {
+                if src.is_empty() && src.capacity() > MAX_KEPT_BUFFER {
                     *src = BytesMut::new();
                 }
                 Ok((false, Some(message)))
@@ -281,9 +282,9 @@
                     Ok((true, None))
                 }
                 Ok(httparse::Status::Complete((_, size)))
-                    if size as usize > self.most_body || body.len() + size as usize > self.most_body =>
+                    if size as usize > self.max_body || body.len() + size as usize > self.max_body =>
                 {
-                    Err(HttpError::TooLarge(self.most_body))
+                    Err(HttpError::TooLarge(self.max_body))
                 }
                 Ok(httparse::Status::Complete((used, size))) if src.len() >= used + size as usize + 2 => {
                     src.advance(used);
@@ -295,7 +296,7 @@
                     self.state = State::Chunked(message, body);
                     Ok((true, None))
                 }
-                Ok(httparse::Status::Partial) if src.len() > MOST_CHUNK_LINE => {
+                Ok(httparse::Status::Partial) if src.len() > MAX_CHUNK_LINE_BYTES => {
                     Err(HttpError::Malformed("chunk size"))
                 }
                 Ok(_) => {
@@ -314,15 +315,15 @@
                     self.state = State::Trailers(message, body);
                     Ok((true, None))
                 }
-                None if src.len() > MOST_HEAD => Err(HttpError::Malformed("trailers")),
+                None if src.len() > MAX_HEAD_BYTES => Err(HttpError::Malformed("trailers")),
                 None => {
                     self.state = State::Trailers(message, body);
                     Ok((false, None))
                 }
             },
             State::UntilEnd(mut message) => {
-                if src.len() > self.most_body {
-                    return Err(HttpError::TooLarge(self.most_body));
+                if src.len() > self.max_body {
+                    return Err(HttpError::TooLarge(self.max_body));
                 }
                 if ended {
                     message.body = src.split().freeze();
@@ -340,8 +341,8 @@
     }
 }
 
-fn partial<T>(src: &BytesMut) -> Result<Option<T>, HttpError> {
-    if src.len() > MOST_HEAD { Err(HttpError::Malformed("head too long")) } else { Ok(None) }
+fn need_more<T>(src: &BytesMut) -> Result<Option<T>, HttpError> {
+    if src.len() > MAX_HEAD_BYTES { Err(HttpError::Malformed("head too long")) } else { Ok(None) }
 }
 
 impl Decoder for Codec {
@@ -353,7 +354,7 @@
             let (again, message) = self.step(src, false)?;
             if !again {
                 if message.is_some() {
-                    self.share = None;
+                    self.reservation = None;
                 }
                 return Ok(message);
             }
@@ -375,40 +376,40 @@
     }
 }
 
-/// What comes of an answer.
+/// A part of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Part {
-    /// The status of its first line, as soon as that line has come.
-    First(u16),
-    /// The first line and the header lines, once all of them have come.
+    /// Status, as soon as the status line has arrived.
+    StatusLine(u16),
+    /// Status line and header lines, once all of them have arrived.
     Head(Message),
-    /// All of it.
-    Whole(Message),
+    /// The complete response.
+    Complete(Message),
 }
 
-/// Frames the connection of a caller to whom an answer's first line may tell enough, whatever follows it.
-/// Interim answers (1xx) before the real one are passed over.
-pub struct AnswerCodec {
+/// Client codec that yields the status line and the head of a response before it is complete. Interim responses (1xx) are
+/// skipped.
+pub struct ResponseCodec {
     codec: Codec,
-    told: bool,
-    headed: bool,
+    status_read: bool,
+    head_read: bool,
 }
 
-impl AnswerCodec {
-    /// Reads answers with bodies of so many bytes at most.
-    pub fn new(most_body: usize) -> Self {
-        AnswerCodec { codec: Codec::client(most_body), told: false, headed: false }
+impl ResponseCodec {
+    /// Creates a codec that reads responses with bodies of at most `max_body` bytes.
+    pub fn new(max_body: usize) -> Self {
+        ResponseCodec { codec: Codec::client(max_body), status_read: false, head_read: false }
     }
 
-    /// The status of the real answer's first line, once it is there.
-    fn first(src: &mut BytesMut) -> Result<Option<u16>, HttpError> {
+    /// Reads the status line of the final response, once it has arrived.
+    fn read_status(src: &mut BytesMut) -> Result<Option<u16>, HttpError> {
         const START: &[u8] = b"HTTP/1.";
-        for _ in 0..=MOST_INTERIM {
+        for _ in 0..=MAX_INTERIM {
             let known = src.len().min(START.len());
             if src[..known] != START[..known] {
                 return Err(HttpError::Malformed("no answer"));
             }
-            let Some(end) = src.iter().position(|byte| *byte == b'\n') else { return partial(src) };
+            let Some(end) = src.iter().position(|byte| *byte == b'\n') else { return need_more(src) };
             let line = src[START.len().min(end)..end].trim_ascii_end();
             let status = match line {
                 [b'0' | b'1', b' ', code @ ..] if code.len() == 3 || code.get(3) == Some(&b' ') => {
@@ -421,54 +422,54 @@
             if status >= 200 {
                 return Ok(Some(status));
             }
-            let mut lines = [httparse::EMPTY_HEADER; MOST_HEADERS];
+            let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let interim = httparse::Response::new(&mut lines).parse(src);
             match interim.map_err(|_| HttpError::Malformed("interim answer"))? {
-                httparse::Status::Partial => return partial(src),
+                httparse::Status::Partial => return need_more(src),
                 httparse::Status::Complete(used) => src.advance(used),
             }
         }
         Err(HttpError::Malformed("too many interim answers"))
     }
 
-    fn part(
+    fn next_part(
         &mut self, src: &mut BytesMut,
         read: impl Fn(&mut Codec, &mut BytesMut) -> Result<Option<Message>, HttpError>,
     ) -> Result<Option<Part>, HttpError> {
-        if !self.told {
-            let first = Self::first(src)?;
-            self.told = first.is_some();
-            return Ok(first.map(Part::First));
+        if !self.status_read {
+            let status = Self::read_status(src)?;
+            self.status_read = status.is_some();
+            return Ok(status.map(Part::StatusLine));
         }
-        if !self.headed {
-            (self.headed, _) = self.codec.step(src, false)?;
-            let head = self.codec.head_read().filter(|_| self.headed).cloned();
+        if !self.head_read {
+            (self.head_read, _) = self.codec.step(src, false)?;
+            let head = self.codec.current_head().filter(|_| self.head_read).cloned();
             return Ok(head.map(Part::Head));
         }
-        let whole = read(&mut self.codec, src)?;
-        (self.told, self.headed) = (whole.is_none(), whole.is_none());
-        Ok(whole.map(Part::Whole))
+        let complete = read(&mut self.codec, src)?;
+        (self.status_read, self.head_read) = (complete.is_none(), complete.is_none());
+        Ok(complete.map(Part::Complete))
     }
 }
 
-impl Decoder for AnswerCodec {
+impl Decoder for ResponseCodec {
     type Item = Part;
     type Error = HttpError;
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Part>, HttpError> {
-        self.part(src, Codec::decode)
+        self.next_part(src, Codec::decode)
     }
 
     fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<Part>, HttpError> {
-        let part = self.part(src, Codec::decode_eof)?;
+        let part = self.next_part(src, Codec::decode_eof)?;
         match part {
-            None if !src.is_empty() || self.told => Err(HttpError::EndedEarly),
+            None if !src.is_empty() || self.status_read => Err(HttpError::EndedEarly),
             part => Ok(part),
         }
     }
 }
 
-impl Encoder<&Message> for AnswerCodec {
+impl Encoder<&Message> for ResponseCodec {
     type Error = HttpError;
 
     fn encode(&mut self, message: &Message, dst: &mut BytesMut) -> Result<(), HttpError> {
@@ -480,13 +481,13 @@
     type Error = HttpError;
 
     fn encode(&mut self, message: &Message, dst: &mut BytesMut) -> Result<(), HttpError> {
-        let first = match &message.start {
+        let start_line = match &message.start {
             Start::Request(method, path) => format!("{method} {path} HTTP/1.1\r\n"),
-            Start::Response(status) => format!("HTTP/1.1 {status} {}\r\n", reason(*status)),
+            Start::Response(status) => format!("HTTP/1.1 {status} {}\r\n", reason_phrase(*status)),
         };
-        dst.extend_from_slice(first.as_bytes());
+        dst.extend_from_slice(start_line.as_bytes());
         for (name, value) in &message.headers {
-            // Guards against a value that would end the head early.
+            // Prevents header injection: a line break would end the head early.
             if name.bytes().chain(value.bytes()).any(|byte| byte == b'\r' || byte == b'\n') {
                 return Err(HttpError::Malformed("line end in a header"));
             }
@@ -506,7 +507,7 @@
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         202 => "Accepted",
--- a/src/net/inbound.rs
+++ b/src/net/inbound.rs
@@ -1,6 +1,5 @@
-//! The client's side of the platform's front: accepts connections, reads what is handed in, answers. Owns the
-//! listening socket and every client connection, and whose place goes to whom when there are few. It must never
-//! choose an endpoint, hold a message back, or end a connection on which a request waits for its answer.
+//! Client connections: accepts them, reads requests and writes the responses. Near the connection limit it closes connections that
+//! are idle or slow, so that others are accepted. Invariant: a connection on which a request waits for its response is not closed.
 
 use std::borrow::Cow;
 use std::collections::HashMap;
@@ -16,9 +15,9 @@
 
 use tracing::{debug, warn};
 
-use super::Protocol;
-use super::http::{Budget, Codec, HttpError, IDEMPOTENCY_KEY, MOST_BODY, Message, Start};
-use super::quiet;
+use super::PartnerProtocol;
+use super::http::{Codec, HttpError, IDEMPOTENCY_KEY, MAX_BODY_BYTES, MemoryBudget, Message, Start};
+use super::is_quiet;
 use super::stream::Stream;
 use crate::draw;
 use crate::exchange::{Answer, Clock, Exchange, IdempotencyKey, IdempotencyKeyError};
@@ -27,55 +26,57 @@
 use crate::standing::{Leaving, Standing};
 
 const UNKNOWN_CLASS: &str = "unknown class";
-/// An id may have so many bytes.
-const MOST_ID: usize = 64;
-/// A whole request has to come within this of its first byte, or of its connection where it is the first.
-const WHOLE_WITHIN: Micros = 2_500_000;
-/// The same where partners far away hand in.
-const PARTNERS_WITHIN: Micros = 30_000_000;
-/// A connection on which nothing came for so long between requests is closed.
-const IDLE: Micros = 30_000_000;
-/// Once half of the places are taken, after this.
-const IDLE_IN_A_CROWD: Micros = 2_000_000;
-/// Once all are taken, after this: its client may send again on a new connection, one that gets none may not.
-const IDLE_WHEN_FULL: Micros = 50_000;
-/// Then a connection on which nothing ever came is closed after this ...
-const SILENT: Micros = 100_000;
-/// ... and one whose request is not whole after this.
-const SLOW: Micros = 500_000;
-/// Where operators have the relay emptied, connections between requests are closed one after the other: the first
-/// so long after the order, the last so much later.
-const LEAVE_AFTER: Micros = 300_000;
-const LEAVE_OVER: Micros = 1_500_000;
-/// One that came since then has so long for its first request.
-const LEAVE_NEW: Micros = 1_000_000;
-/// While there is no place, it is looked for one so often.
-const LOOK_AGAIN: Micros = 10_000;
-/// Shortest time between two log lines about connections that cannot be accepted, in microseconds.
-const WARN_EVERY: Micros = 1_000_000;
-/// An answer is written within this, or not at all.
-const ANSWER_WITHIN: Micros = 1_000_000;
-/// After the last answer what still comes is read for so long, and so many bytes of it.
-const DRAIN_WITHIN: Micros = 1_000_000;
-const MOST_DRAINED: usize = 4 * 1024 * 1024;
-
-/// What the client's side knows of the site: names, as the settings have them.
+/// Maximum length of a message id, in bytes.
+const MAX_ID_BYTES: usize = 64;
+/// Time limit for a complete request, in microseconds: from its first byte, or from the start of the connection for the first one.
+const REQUEST_TIMEOUT: Micros = 2_500_000;
+/// The same for requests of partners, which may be far away, in microseconds.
+const PARTNER_REQUEST_TIMEOUT: Micros = 30_000_000;
+/// Idle time between requests after which a connection is closed, in microseconds.
+const IDLE_TIMEOUT: Micros = 30_000_000;
+/// The same once half of the connection limit is used, in microseconds.
+const IDLE_TIMEOUT_HALF_FULL: Micros = 2_000_000;
+/// The same at the connection limit, in microseconds. The client of a closed connection can open a new one, while a client that
+/// gets none cannot send at all.
+const IDLE_TIMEOUT_FULL: Micros = 50_000;
+/// At the connection limit, a connection without any request is closed after this time, in microseconds.
+const NO_REQUEST_TIMEOUT_FULL: Micros = 100_000;
+/// At the connection limit, a connection with an incomplete request is closed after this time, in microseconds.
+const REQUEST_TIMEOUT_FULL: Micros = 500_000;
+/// Delay from an operator's standby order to the close of the first connection between requests, in microseconds.
+const DRAIN_DELAY: Micros = 300_000;
+/// Time over which these connections are closed one after the other, in microseconds.
+const DRAIN_SPREAD: Micros = 1_500_000;
+/// Time for the first request on a connection that was accepted after the order, in microseconds.
+const DRAIN_NEW_CONNECTION: Micros = 1_000_000;
+/// Interval of checks for a connection to close at the connection limit, and of attempts to accept after an error, in microseconds.
+const CHECK_INTERVAL: Micros = 10_000;
+/// Minimum interval between warnings about connections that cannot be accepted, in microseconds.
+const WARN_INTERVAL: Micros = 1_000_000;
+/// Time limit for writing a response, in microseconds.
+const RESPONSE_TIMEOUT: Micros = 1_000_000;
+/// Time for which bytes that arrive after the last response are read, in microseconds.
+const LINGER_TIMEOUT: Micros = 1_000_000;
+/// Maximum number of these bytes.
+const MAX_LINGER_BYTES: usize = 4 * 1024 * 1024;
+
+/// Names that requests may use, from the settings.
 #[derive(Clone, Debug, Default)]
-pub struct Vocabulary {
-    /// Classes of message.
+pub struct KnownNames {
+    /// Message classes.
     pub classes: Vec<String>,
-    /// Those of them whose messages need an idempotency key.
+    /// Classes whose messages need an idempotency key.
     pub keyed: Vec<String>,
-    /// Tenants; empty at a site without.
+    /// Tenants. Empty if the site has none.
     pub tenants: Vec<String>,
 }
 
-impl Vocabulary {
-    /// The names of classes and tenants; the terms are those of the classes, in their order.
+impl KnownNames {
+    /// Creates the set of names. `terms` are the settings of the classes in the same order.
     pub fn new(classes: &[String], terms: &[Class], tenants: &[String]) -> Self {
         let keyed =
             classes.iter().zip(terms).filter(|(_, class)| matches!(class.effect, Effect::Keyed { .. }));
-        Vocabulary {
+        KnownNames {
             keyed: keyed.map(|(name, _)| name.clone()).collect(),
             classes: classes.to_vec(),
             tenants: tenants.to_vec(),
@@ -83,353 +84,361 @@
     }
 }
 
-/// What is spoken on a listening socket.
-pub enum Front {
+/// Protocol of a listening socket.
+pub enum InboundProtocol {
     /// The platform's protocol.
-    Platform(watch::Receiver<Vocabulary>),
-    /// Another one, which its partners speak.
-    Beside(Arc<dyn Protocol>),
+    Platform(watch::Receiver<KnownNames>),
+    /// The protocol of partners.
+    Partner(Arc<dyn PartnerProtocol>),
 }
 
-/// What all connections of a socket share.
+/// State shared by all connections of a listening socket.
 pub struct Inbound {
     /// The clock.
     pub clock: Clock,
-    /// What is spoken here.
-    pub front: Front,
-    /// To the runtime.
+    /// The protocol.
+    pub protocol: InboundProtocol,
+    /// Inputs of the runtime.
     pub inputs: mpsc::Sender<Input>,
     /// Memory for bodies that are being read.
-    pub budget: Arc<Budget>,
-    /// Requests of which the first byte came and the last did not yet.
+    pub budget: Arc<MemoryBudget>,
+    /// Number of requests that have arrived in part.
     pub reading: AtomicUsize,
-    /// Requests that were read and not answered yet.
+    /// Number of complete requests without a response.
     pub busy: AtomicUsize,
-    /// Connections that are open.
-    pub guests: AtomicUsize,
-    /// What the process is at: whether it is ready, and whether connections are to end.
+    /// Number of open connections.
+    pub connections: AtomicUsize,
+    /// State of the process: whether it is ready, and whether connections have to close.
     pub standing: Arc<Standing>,
 }
 
-/// What a connection is at.
+/// State of a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Stage {
-    /// Nothing has come yet.
+    /// Nothing has been received.
     New,
-    /// A request is coming.
+    /// A request has arrived in part.
     Reading,
-    /// A request waits for its answer.
-    Open,
-    /// The last request was answered.
-    Between,
-    /// The last answer was given; what still comes is of no use.
-    Leaving,
+    /// A request waits for its response.
+    Responding,
+    /// No request since the last response.
+    Idle,
+    /// The last response was written; further bytes are discarded.
+    Lingering,
 }
 
-struct Guest {
+struct ConnectionState {
     stage: Stage,
     since: Micros,
-    /// Asked to leave at this stage.
-    asked: bool,
-    leave: Arc<Notify>,
+    /// Whether it was asked to close at this stage.
+    close_requested: bool,
+    close: Arc<Notify>,
 }
 
-/// The places for connections of one listening socket.
-struct Places {
+/// The open connections of one listening socket, and their maximum number.
+struct ConnectionTable {
     clock: Clock,
-    most: Arc<AtomicUsize>,
+    limit: Arc<AtomicUsize>,
     next: AtomicUsize,
-    guests: Mutex<HashMap<usize, Guest>>,
+    open: Mutex<HashMap<usize, ConnectionState>>,
     freed: Notify,
 }
 
-impl Places {
-    fn guests(&self) -> MutexGuard<'_, HashMap<usize, Guest>> {
-        self.guests.lock().unwrap_or_else(PoisonError::into_inner)
+impl ConnectionTable {
+    fn open(&self) -> MutexGuard<'_, HashMap<usize, ConnectionState>> {
+        self.open.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Asks those to leave who hold a place for nothing; tells whether one is free.
-    fn look(&self) -> bool {
+    /// Asks idle and slow connections to close if the table is nearly full. Returns whether a further connection may be accepted.
+    fn request_closes(&self) -> bool {
         let now = self.clock.now();
-        let mut guests = self.guests();
-        let taken = guests.len();
-        let most = self.most.load(Ordering::Relaxed);
-        let (crowded, full) = (taken > most / 2, taken >= most);
-        for guest in guests.values_mut().filter(|guest| !guest.asked) {
-            let stays = match guest.stage {
-                Stage::Open => Micros::MAX,
-                Stage::Between if full => IDLE_WHEN_FULL,
-                Stage::Between if crowded => IDLE_IN_A_CROWD,
-                Stage::New | Stage::Leaving if full => SILENT,
-                Stage::Reading if full => SLOW,
+        let mut open = self.open();
+        let count = open.len();
+        let limit = self.limit.load(Ordering::Relaxed);
+        let (half_full, full) = (count > limit / 2, count >= limit);
+        for connection in open.values_mut().filter(|connection| !connection.close_requested) {
+            let timeout = match connection.stage {
+                Stage::Responding => Micros::MAX,
+                Stage::Idle if full => IDLE_TIMEOUT_FULL,
+                Stage::Idle if half_full => IDLE_TIMEOUT_HALF_FULL,
+                Stage::New | Stage::Lingering if full => NO_REQUEST_TIMEOUT_FULL,
+                Stage::Reading if full => REQUEST_TIMEOUT_FULL,
                 _ => Micros::MAX,
             };
-            if now - guest.since >= stays {
-                guest.asked = true;
-                guest.leave.notify_one();
+            if now - connection.since >= timeout {
+                connection.close_requested = true;
+                connection.close.notify_one();
             }
         }
         !full
     }
 
-    fn enter(self: &Arc<Self>) -> Place {
+    fn register(self: &Arc<Self>) -> Registration {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
-        let leave = Arc::new(Notify::new());
-        let guest = Guest { stage: Stage::New, since: self.clock.now(), asked: false, leave: leave.clone() };
-        self.guests().insert(number, guest);
-        Place { places: self.clone(), number, leave }
+        let close = Arc::new(Notify::new());
+        let state = ConnectionState {
+            stage: Stage::New,
+            since: self.clock.now(),
+            close_requested: false,
+            close: close.clone(),
+        };
+        self.open().insert(number, state);
+        Registration { table: self.clone(), number, close }
     }
 }
 
-/// A connection's place, free again once this is dropped.
-struct Place {
-    places: Arc<Places>,
+/// Entry of a connection in the table, removed on drop.
+struct Registration {
+    table: Arc<ConnectionTable>,
     number: usize,
-    leave: Arc<Notify>,
+    close: Arc<Notify>,
 }
 
-impl Place {
-    fn at(&self, stage: Stage) {
-        let now = self.places.clock.now();
-        if let Some(guest) = self.places.guests().get_mut(&self.number) {
-            (guest.stage, guest.since, guest.asked) = (stage, now, false);
+impl Registration {
+    fn set_stage(&self, stage: Stage) {
+        let now = self.table.clock.now();
+        if let Some(connection) = self.table.open().get_mut(&self.number) {
+            (connection.stage, connection.since, connection.close_requested) = (stage, now, false);
         }
     }
 
-    /// Notes why its connection is closed.
-    fn closed(&self, reason: &str) {
+    /// Logs why the connection is closed.
+    fn log_close(&self, reason: &str) {
         debug!(connection = self.number, reason, "closed");
     }
 
-    /// Comes when this place is wanted for another.
-    async fn wanted(&self) {
+    /// Completes once the connection has to close for another one.
+    async fn close_requested(&self) {
         loop {
-            self.leave.notified().await;
-            // One that was asked for at an earlier stage may stay.
-            if self.places.guests().get(&self.number).is_some_and(|guest| guest.asked) {
+            self.close.notified().await;
+            // A request to close at an earlier stage no longer applies.
+            if self.table.open().get(&self.number).is_some_and(|connection| connection.close_requested) {
                 return;
             }
         }
     }
 }
 
-impl Drop for Place {
+impl Drop for Registration {
     fn drop(&mut self) {
-        self.places.guests().remove(&self.number);
-        self.places.freed.notify_one();
+        self.table.open().remove(&self.number);
+        self.table.freed.notify_one();
     }
 }
 
-/// Accepts connections, at most `most` at a time, until the process ends or this is dropped; connections go on then.
-pub async fn serve(listener: TcpListener, inbound: Arc<Inbound>, most: Arc<AtomicUsize>) {
+/// Accepts connections, at most `limit` at a time, until the process ends or the future is dropped. Open connections continue then.
+pub async fn serve(listener: TcpListener, inbound: Arc<Inbound>, limit: Arc<AtomicUsize>) {
     let clock = inbound.clock;
-    let (next, guests, freed) = (AtomicUsize::new(0), Mutex::default(), Notify::new());
-    let places = Arc::new(Places { clock, most, next, guests, freed });
+    let (next, open, freed) = (AtomicUsize::new(0), Mutex::default(), Notify::new());
+    let table = Arc::new(ConnectionTable { clock, limit, next, open, freed });
     let mut warn_at = Micros::MIN;
     loop {
-        while !places.look() {
+        while !table.request_closes() {
             tokio::select! {
-                () = places.freed.notified() => {}
-                () = tokio::time::sleep_until(clock.instant(clock.now() + LOOK_AGAIN)) => {}
+                () = table.freed.notified() => {}
+                () = tokio::time::sleep_until(clock.instant(clock.now() + CHECK_INTERVAL)) => {}
             }
         }
         match listener.accept().await {
             Ok((stream, _)) => {
-                let (inbound, place) = (inbound.clone(), places.enter());
+                let (inbound, registration) = (inbound.clone(), table.register());
                 tokio::spawn(async move {
-                    inbound.guests.fetch_add(1, Ordering::Relaxed);
-                    connection(stream, &inbound, &place).await;
-                    inbound.guests.fetch_sub(1, Ordering::Relaxed);
+                    inbound.connections.fetch_add(1, Ordering::Relaxed);
+                    serve_connection(stream, &inbound, &registration).await;
+                    inbound.connections.fetch_sub(1, Ordering::Relaxed);
                 });
             }
-            // The client has gone, or the call was interrupted: the next one may be there.
+            // The client closed the connection, or the system call was interrupted.
             Err(error) if matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
-            // Guards against a spin while descriptors are short: the others go on.
+            // Prevents a busy loop while descriptors are short. Open connections continue.
             Err(error) => {
                 if clock.now() >= warn_at {
-                    warn_at = clock.now() + WARN_EVERY;
-                    warn!("accept: {error}");
+                    warn_at = clock.now() + WARN_INTERVAL;
+                    warn!("cannot accept a client connection: {error}");
                 }
-                tokio::time::sleep_until(clock.instant(clock.now() + LOOK_AGAIN)).await;
+                tokio::time::sleep_until(clock.instant(clock.now() + CHECK_INTERVAL)).await;
             }
         }
     }
 }
 
 impl Inbound {
-    /// Connections that are open.
-    pub fn connections(&self) -> usize {
-        self.guests.load(Ordering::Relaxed)
+    /// Returns the number of open connections.
+    pub fn open_connections(&self) -> usize {
+        self.connections.load(Ordering::Relaxed)
     }
 
-    /// Requests that were read and have no answer yet.
-    pub fn open(&self) -> usize {
+    /// Returns the number of complete requests without a response.
+    pub fn pending_requests(&self) -> usize {
         self.busy.load(Ordering::Relaxed)
     }
 
-    /// Waits until every request that was read, or of which a part was, has its answer, or until `by`. It guards the
-    /// answers against the end of the process.
-    pub async fn answered(&self, by: Micros) {
-        let open = || self.reading.load(Ordering::Relaxed) + self.busy.load(Ordering::Relaxed);
-        while open() > 0 && self.clock.now() < by {
+    /// Waits until every request that has arrived, also in part, has its response, or until `by`. Called before the process ends, so
+    /// that no response is lost.
+    pub async fn wait_answered(&self, by: Micros) {
+        let pending = || self.reading.load(Ordering::Relaxed) + self.busy.load(Ordering::Relaxed);
+        while pending() > 0 && self.clock.now() < by {
             tokio::time::sleep_until(self.clock.instant(self.clock.now() + 1000)).await;
         }
     }
 }
 
-async fn connection(stream: TcpStream, inbound: &Inbound, place: &Place) {
+async fn serve_connection(stream: TcpStream, inbound: &Inbound, registration: &Registration) {
     let clock = inbound.clock;
     let _ = stream.set_nodelay(true);
-    let (most, within) = match &inbound.front {
-        Front::Beside(front) => (front.most_message(), PARTNERS_WITHIN),
-        Front::Platform(_) => (MOST_BODY, WHOLE_WITHIN),
+    let (max_body, timeout) = match &inbound.protocol {
+        InboundProtocol::Partner(partners) => (partners.max_message_bytes(), PARTNER_REQUEST_TIMEOUT),
+        InboundProtocol::Platform(_) => (MAX_BODY_BYTES, REQUEST_TIMEOUT),
     };
-    let mut framed = Framed::new(Stream::new(stream), Codec::server(most, inbound.budget.clone()));
+    let mut framed = Framed::new(Stream::new(stream), Codec::server(max_body, inbound.budget.clone()));
     let mut leaving = inbound.standing.leaving();
     let accepted = clock.now();
-    // Each has a moment of its own, so that clients do not all come to the others at once.
-    let leaves_by = |leaving: Leaving| match leaving {
+    // Connections close at different times, so that their clients do not all move to other relays at once.
+    let close_at = |leaving: Leaving| match leaving {
         Leaving::Since(at) => {
-            let part = draw::unit(place.number as u64 ^ at.unsigned_abs());
-            let by = at + LEAVE_AFTER + (part * LEAVE_OVER as f64) as Micros;
-            if accepted < at { by } else { by.max(accepted + LEAVE_NEW) }
+            let fraction = draw::unit(registration.number as u64 ^ at.unsigned_abs());
+            let by = at + DRAIN_DELAY + (fraction * DRAIN_SPREAD as f64) as Micros;
+            if accepted < at { by } else { by.max(accepted + DRAIN_NEW_CONNECTION) }
         }
         Leaving::No | Leaving::Stop => Micros::MAX,
     };
-    // The first request is owed something within a time that counts from the connection, later ones from their
-    // first byte.
-    let mut first_by = Some(clock.now() + within);
-    let mut silent_until = clock.now() + within;
+    // The time limit of the first request starts with the connection, that of a later one with its first byte.
+    let mut first_by = Some(clock.now() + timeout);
+    let mut idle_until = clock.now() + timeout;
     loop {
         if framed.read_buffer().is_empty() {
             let mut byte = [0];
-            let until = silent_until.min(leaves_by(*leaving.borrow_and_update()));
-            let comes = tokio::select! {
+            let until = idle_until.min(close_at(*leaving.borrow_and_update()));
+            let has_bytes = tokio::select! {
                 biased;
                 peeked = framed.get_ref().peek(&mut byte) => matches!(peeked, Ok(1..)),
-                () = place.wanted() => !quiet(framed.get_ref()),
+                () = registration.close_requested() => !is_quiet(framed.get_ref()),
                 Ok(()) = leaving.changed() => continue,
-                () = tokio::time::sleep_until(clock.instant(until)) => !quiet(framed.get_ref()),
+                () = tokio::time::sleep_until(clock.instant(until)) => !is_quiet(framed.get_ref()),
             };
-            if !comes {
-                return place.closed("nothing more comes, or its place is wanted");
+            if !has_bytes {
+                return registration.log_close("idle, or closed for another connection");
             }
         }
-        place.at(Stage::Reading);
-        let by = first_by.take().unwrap_or(clock.now() + within);
+        registration.set_stage(Stage::Reading);
+        let by = first_by.take().unwrap_or(clock.now() + timeout);
         inbound.reading.fetch_add(1, Ordering::Relaxed);
         let next = tokio::select! {
             biased;
             next = framed.next() => next,
-            () = place.wanted() => None,
-            () = tokio::time::sleep_until(clock.instant(by)) => Some(Err(HttpError::Late)),
+            () = registration.close_requested() => None,
+            () = tokio::time::sleep_until(clock.instant(by)) => Some(Err(HttpError::Timeout)),
         };
         inbound.reading.fetch_sub(1, Ordering::Relaxed);
-        let (mut answer, taken) = match next {
-            None => return place.closed("its client ended it, or its place is wanted"),
-            Some(Err(HttpError::Io(error))) => return place.closed(&format!("read: {error}")),
+        let (mut response, accepted_id) = match next {
+            None => return registration.log_close("closed by the client, or for another connection"),
+            Some(Err(HttpError::Io(error))) => return registration.log_close(&format!("read: {error}")),
             Some(Err(error)) => {
-                place.closed(&format!("after an answer: {error}"));
+                registration.log_close(&format!("after an error response: {error}"));
                 let status = match error {
                     HttpError::TooLarge(_) => 413,
                     HttpError::NoMemory => 503,
-                    HttpError::Late => 408,
+                    HttpError::Timeout => 408,
                     _ => 400,
                 };
-                return last(clock, framed, Message::response(status, error.to_string()), place).await;
+                return send_last(clock, framed, Message::response(status, error.to_string()), registration)
+                    .await;
             }
-            // Guards against a length that is too short: what follows it was meant as part of the body.
-            Some(Ok(_)) if !may_begin(framed.read_buffer()) => {
-                let answer = Message::response(400, "malformed: bytes after the body");
-                return last(clock, framed, answer, place).await;
+            // The stated length was too short if the following bytes cannot be a request: they belong to the body.
+            Some(Ok(_)) if !may_be_request(framed.read_buffer()) => {
+                let response = Message::response(400, "malformed: bytes after the body");
+                return send_last(clock, framed, response, registration).await;
             }
             Some(Ok(request)) => {
-                place.at(Stage::Open);
+                registration.set_stage(Stage::Responding);
                 let keep_alive = request.keep_alive;
                 inbound.busy.fetch_add(1, Ordering::Relaxed);
-                let (mut answer, taken) = route(request, inbound).await;
-                answer.keep_alive &= keep_alive;
-                (answer, taken)
+                let (mut response, accepted_id) = route(request, inbound).await;
+                response.keep_alive &= keep_alive;
+                (response, accepted_id)
             }
         };
-        answer.keep_alive &= *leaving.borrow_and_update() == Leaving::No;
-        let until = clock.instant(clock.now() + ANSWER_WITHIN);
-        let mut untouched = true;
-        let sent = tokio::time::timeout_at(until, send_whole(&mut framed, &answer, &mut untouched)).await;
+        response.keep_alive &= *leaving.borrow_and_update() == Leaving::No;
+        let until = clock.instant(clock.now() + RESPONSE_TIMEOUT);
+        let mut nothing_sent = true;
+        let sent =
+            tokio::time::timeout_at(until, send_response(&mut framed, &response, &mut nothing_sent)).await;
         inbound.busy.fetch_sub(1, Ordering::Relaxed);
         if !matches!(sent, Ok(Ok(()))) {
             match sent {
-                Ok(Err(error)) => place.closed(&format!("the answer cannot be written: {error}")),
-                _ => place.closed("the answer is not taken"),
+                Ok(Err(error)) => registration.log_close(&format!("cannot write the response: {error}")),
+                _ => registration.log_close("writing the response timed out"),
             }
-            // A client that got a part of the answer may have heard enough of it.
-            if let Some(id) = taken.filter(|_| untouched) {
+            // A client that received a part of the response may know that the message was accepted.
+            if let Some(id) = accepted_id.filter(|_| nothing_sent) {
                 let _ = inbound.inputs.send(Input::Withdrawn(id)).await;
             }
             return;
         }
-        if !answer.keep_alive {
-            place.closed("after the last answer");
-            return drain(clock, framed.into_inner(), place).await;
+        if !response.keep_alive {
+            registration.log_close("after the last response");
+            return linger(clock, framed.into_inner(), registration).await;
         }
-        place.at(Stage::Between);
-        silent_until = clock.now() + IDLE;
+        registration.set_stage(Stage::Idle);
+        idle_until = clock.now() + IDLE_TIMEOUT;
     }
 }
 
-/// Sends an answer; `untouched` says whether no byte of it went out.
-async fn send_whole(
-    framed: &mut Framed<Stream, Codec>, answer: &Message, untouched: &mut bool,
+/// Sends a response. Sets `nothing_sent` to whether no byte of it was written to the socket.
+async fn send_response(
+    framed: &mut Framed<Stream, Codec>, response: &Message, nothing_sent: &mut bool,
 ) -> Result<(), HttpError> {
-    framed.feed(answer).await?;
-    let whole = framed.write_buffer().len();
+    framed.feed(response).await?;
+    let length = framed.write_buffer().len();
     std::future::poll_fn(|context| {
         let flushed = framed.poll_flush_unpin(context);
-        *untouched = framed.write_buffer().len() == whole;
+        *nothing_sent = framed.write_buffer().len() == length;
         flushed
     })
     .await
 }
 
-/// Whether bytes after a request may be the next one: none, or a method.
-fn may_begin(bytes: &[u8]) -> bool {
+/// Returns whether bytes after a request may begin the next one: there are none, or they start with a method.
+fn may_be_request(bytes: &[u8]) -> bool {
     let line = bytes.trim_ascii_start();
     let method = line.split(|byte| *byte == b' ').next().unwrap_or_default();
     method.len() <= 16 && method.iter().all(u8::is_ascii_uppercase)
 }
 
-/// The last answer of a connection whose other side may still be sending.
-async fn last(clock: Clock, mut framed: Framed<Stream, Codec>, mut answer: Message, place: &Place) {
-    answer.keep_alive = false;
-    place.at(Stage::Leaving);
-    let until = clock.instant(clock.now() + ANSWER_WITHIN);
-    if matches!(tokio::time::timeout_at(until, framed.send(&answer)).await, Ok(Ok(()))) {
-        drain(clock, framed.into_inner(), place).await;
+/// Sends the last response on a connection whose client may still be sending.
+async fn send_last(
+    clock: Clock, mut framed: Framed<Stream, Codec>, mut response: Message, registration: &Registration,
+) {
+    response.keep_alive = false;
+    registration.set_stage(Stage::Lingering);
+    let until = clock.instant(clock.now() + RESPONSE_TIMEOUT);
+    if matches!(tokio::time::timeout_at(until, framed.send(&response)).await, Ok(Ok(()))) {
+        linger(clock, framed.into_inner(), registration).await;
     }
 }
 
-/// Ends a connection so that its last answer arrives: closed with bytes unread, it would be reset, and the answer
-/// might be lost with it.
-async fn drain(clock: Clock, mut stream: Stream, place: &Place) {
-    place.at(Stage::Leaving);
+/// Closes a connection so that its last response arrives. Closing with unread bytes would reset the connection, which may lose the
+/// response.
+async fn linger(clock: Clock, mut stream: Stream, registration: &Registration) {
+    registration.set_stage(Stage::Lingering);
     if stream.shutdown().await.is_err() {
         return;
     }
-    let (mut bytes, mut left) = (vec![0; 16 * 1024], MOST_DRAINED);
-    let until = clock.instant(clock.now() + DRAIN_WITHIN);
+    let (mut bytes, mut left) = (vec![0; 16 * 1024], MAX_LINGER_BYTES);
+    let until = clock.instant(clock.now() + LINGER_TIMEOUT);
     loop {
         tokio::select! {
             read = stream.read(&mut bytes) => match read {
                 Ok(n @ 1..) if n < left => left -= n,
                 _ => return,
             },
-            () = place.wanted() => return,
+            () = registration.close_requested() => return,
             () = tokio::time::sleep_until(until) => return,
         }
     }
 }
 
-/// The answer, and the id of the message that it says was taken on.
+/// Returns the response to a request, and the id of the message if the response states that it was accepted.
 async fn route(request: Message, inbound: &Inbound) -> (Message, Option<String>) {
     let Start::Request(method, path) = &request.start else {
         return (Message::response(400, "no request"), None);
@@ -439,54 +448,58 @@
         ("GET", "/health/live") => (Message::response(200, "live"), None),
         ("GET", "/health/ready") if inbound.standing.relay_ready() => (Message::response(200, "ready"), None),
         ("GET", "/health/ready") => (Message::response(503, inbound.standing.word()), None),
-        ("POST", _) => match &inbound.front {
-            Front::Platform(names) => {
-                let read = read(&request, path, inbound.clock.now(), &names.borrow());
-                match read {
+        ("POST", _) => match &inbound.protocol {
+            InboundProtocol::Platform(names) => {
+                let exchange = parse_message(&request, path, inbound.clock.now(), &names.borrow());
+                match exchange {
                     Err((status, why)) => (Message::response(status, why.into_owned()), None),
-                    Ok(exchange) => hand_in(exchange, inbound).await,
+                    Ok(exchange) => submit(exchange, inbound).await,
                 }
             }
-            Front::Beside(front) => (front.answer(&request).await, None),
+            InboundProtocol::Partner(partners) => (partners.respond(&request).await, None),
         },
         _ => (Message::response(405, "POST hands in a message"), None),
     }
 }
 
-async fn hand_in(exchange: Exchange, inbound: &Inbound) -> (Message, Option<String>) {
+async fn submit(exchange: Exchange, inbound: &Inbound) -> (Message, Option<String>) {
     let id = exchange.id.clone();
-    let (reply, answer) = oneshot::channel();
+    let (reply, result) = oneshot::channel();
     if inbound.inputs.send(Input::Handed(Arc::new(exchange), None, reply)).await.is_err() {
         return (Message::response(503, "stopped"), None);
     }
-    match answer.await {
+    match result.await {
         Ok(Answer::Taken) => (Message::response(202, ""), Some(id)),
-        // Whoever hands in what is held already must not withdraw it by going away.
+        // The message was accepted before: a client that closes this connection must not withdraw it.
         Ok(Answer::TakenBefore) => (Message::response(202, ""), None),
         Ok(Answer::Refused(why, after)) => {
             debug!(message = id, why = &*why, after, "refused");
-            let answer = Message::response(503, why.into_owned());
-            let answer = match after {
-                Some(after) => answer.with("Retry-After", format!("{:.3}", after as f64 / 1e6)),
-                None => answer,
+            let response = Message::response(503, why.into_owned());
+            let response = match after {
+                Some(after) => response.with("Retry-After", format!("{:.3}", after as f64 / 1e6)),
+                None => response,
             };
-            (answer, None)
+            (response, None)
         }
         Ok(Answer::Unknown) => (Message::response(404, UNKNOWN_CLASS), None),
         Ok(Answer::Failed(why)) => {
-            debug!(message = id, why = &*why, "failed at once");
+            debug!(message = id, why = &*why, "message failed immediately");
             (Message::response(500, why.into_owned()), None)
         }
         Err(_) => (Message::response(503, "stopped"), None),
     }
 }
 
-fn read(
-    request: &Message, path: &str, now: Micros, names: &Vocabulary,
+/// Parses a message of the platform's protocol.
+///
+/// # Errors
+/// The HTTP status and text of the response to an invalid request.
+fn parse_message(
+    request: &Message, path: &str, now: Micros, names: &KnownNames,
 ) -> Result<Exchange, (u16, Cow<'static, str>)> {
     let class = path.trim_start_matches('/').split('/').next().unwrap_or_default();
     let class = names.classes.iter().find(|name| *name == class).ok_or((404, UNKNOWN_CLASS.into()))?.clone();
-    let id = request.header("X-Correlation-Id").filter(|id| !id.is_empty() && id.len() <= MOST_ID);
+    let id = request.header("X-Correlation-Id").filter(|id| !id.is_empty() && id.len() <= MAX_ID_BYTES);
     let id = id.ok_or((400, "X-Correlation-Id is missing, empty or too long".into()))?;
     let tenant = match request.header("X-Account") {
         Some(name) => Some(
@@ -500,9 +513,9 @@
         None if names.tenants.is_empty() => None,
         None => return Err((400, "X-Account is missing".into())),
     };
-    let left = request.header("X-Time-Left").and_then(span);
+    let left = request.header("X-Time-Left").and_then(parse_duration);
     let left = left.ok_or((400, "X-Time-Left is not a number with m or u".into()))?;
-    let idempotency_key = read_idempotency_key(request, names.keyed.contains(&class))?;
+    let idempotency_key = parse_idempotency_key(request, names.keyed.contains(&class))?;
     let extras = request.header("X-Addressing").unwrap_or_default();
     let pairs = extras.split([',', ';', ' ']).filter_map(|pair| pair.split_once('='));
     let destination = pairs.filter(|(name, _)| *name == "dest").find_map(|(_, value)| value.parse().ok());
@@ -512,9 +525,9 @@
     Ok(Exchange { id, class, tenant, due, destination, idempotency_key, body })
 }
 
-/// The idempotency key of a request, in whichever class. A message of a keyed class needs one, as its destination could not
-/// recognise its repeats without.
-fn read_idempotency_key(
+/// Returns the idempotency key of a request of any class. It is required in a keyed class, as the destination could not recognise
+/// duplicates without it.
+fn parse_idempotency_key(
     request: &Message, needed: bool,
 ) -> Result<Option<IdempotencyKey>, (u16, Cow<'static, str>)> {
     let mut keys = request.headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case(IDEMPOTENCY_KEY));
@@ -528,8 +541,8 @@
     Ok(Some(key))
 }
 
-/// A number and a unit: `m` milliseconds, `u` microseconds.
-fn span(text: &str) -> Option<Micros> {
+/// Parses a number with a unit: `m` for milliseconds, `u` for microseconds. Returns microseconds.
+fn parse_duration(text: &str) -> Option<Micros> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let scale = match unit {
         "m" => 1000.0,
@@ -537,6 +550,6 @@
         _ => return None,
     };
     let number: f64 = number.trim().parse().ok()?;
-    // A day at the most: it guards the sums made with it.
+    // At most a day, so that sums with it cannot overflow.
     (number.is_finite() && number >= 0.0).then(|| (number * scale).min(86_400e6) as Micros)
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,16 +1,16 @@
-//! The platform's front on sockets: HTTP/1.1 framing, the client's side, the endpoints' side and discovery.
-//! Owns every socket of that front. It must never decide what is sent where, when or again.
+//! Network I/O of a relay: HTTP/1.1 framing, client connections, calls to endpoints, discovery and the admin endpoint. What is sent
+//! where and when, and whether it is retried, is decided elsewhere.
 
-pub mod answer;
-pub mod clearance;
+pub mod admin;
 pub mod connections;
 pub mod discovery;
-pub mod door;
 pub mod http;
+pub mod idle;
 pub mod inbound;
 pub mod outbound;
 pub mod progress;
-pub mod resting;
+pub mod response;
+pub mod send_guard;
 pub mod stream;
 
 use std::future::Future;
@@ -25,30 +25,30 @@
 use progress::Progress;
 use stream::Stream;
 
-/// Something that is being done.
-pub type Doing<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
+/// A boxed future.
+pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// A protocol that partners speak beside the platform's, as these sockets see it.
-pub trait Protocol: Send + Sync {
-    /// Bytes of a message with its head at the most.
-    fn most_message(&self) -> usize;
+/// A protocol for partners, used in addition to the platform's.
+pub trait PartnerProtocol: Send + Sync {
+    /// Returns the maximum size of a message, head included.
+    fn max_message_bytes(&self) -> usize;
 
-    /// Answers what a partner posts.
-    fn answer<'a>(&'a self, request: &'a Message) -> Doing<'a, Message>;
+    /// Answers a request of a partner.
+    fn respond<'a>(&'a self, request: &'a Message) -> BoxFuture<'a, Message>;
 
-    /// Whether calls to a destination go by it.
-    fn serves(&self, destination: i64) -> bool;
+    /// Returns whether calls to a destination use this protocol.
+    fn serves_destination(&self, destination: i64) -> bool;
 
-    /// One attempt.
-    fn attempt<'a>(&'a self, call: &'a OutboundCall, progress: &'a mut Progress) -> Doing<'a, Outcome>;
+    /// Makes one attempt.
+    fn attempt<'a>(&'a self, call: &'a OutboundCall, progress: &'a mut Progress) -> BoxFuture<'a, Outcome>;
 
-    /// The receipt that proves a message, where its destination gives receipts.
-    fn expected(&self, exchange: &Exchange) -> Option<Expected>;
+    /// Returns the receipt that proves the delivery of a message, if its destination issues receipts.
+    fn expected_receipt(&self, exchange: &Exchange) -> Option<Expected>;
 }
 
-/// Whether nothing is left to read on a connection that is open, as the system has it at this moment: what the
-/// event loop knows is older.
-fn quiet(stream: &Stream) -> bool {
+/// Returns whether a connection is open with nothing left to read. Asks the operating system, as the readiness state of the event
+/// loop may be stale.
+fn is_quiet(stream: &Stream) -> bool {
     let mut byte = [std::mem::MaybeUninit::uninit()];
     loop {
         let peeked = socket2::SockRef::from(stream.socket()).peek(&mut byte);
--- a/src/net/outbound.rs
+++ b/src/net/outbound.rs
@@ -1,5 +1,5 @@
-//! The endpoints' side of the platform's front: one attempt becomes one HTTP call. Owns what an answer means.
-//! It must never send a call twice, on whatever connection, and never choose an endpoint.
+//! Calls to endpoints: one attempt is one HTTP call. Interprets the answers. Invariant: a call is sent at most once, on one
+//! connection, to the endpoint that the attempt names.
 
 use std::sync::Arc;
 
@@ -8,49 +8,50 @@
 use tracing::debug;
 use verdict::{After, Verdict};
 
-use super::Protocol;
-use super::clearance::Clearance;
-use super::connections::{Connections, full};
+use super::PartnerProtocol;
+use super::connections::{Connections, retry_after};
 use super::http::{Message, Start};
 use super::progress::Progress;
+use super::send_guard::SendGuard;
 use crate::exchange::{Answered, CallEnd, Clock, Exchange, OutboundCall};
 use crate::input::Input;
 use crate::interface::{Micros, Outcome, Report, TargetId};
 use crate::runtime::Caller;
 
-/// A report with a greater figure makes no sense.
-const MOST_REPORTED: f64 = 1e6;
+/// Maximum plausible figure in a limit report.
+const MAX_REPORTED: f64 = 1e6;
 
-/// Makes calls.
+/// Makes calls to endpoints.
 #[derive(Clone)]
 pub struct Outbound {
     clock: Clock,
     inputs: mpsc::Sender<Input>,
     connections: Connections,
-    beside: Option<Arc<dyn Protocol>>,
+    partners: Option<Arc<dyn PartnerProtocol>>,
 }
 
 impl Outbound {
-    /// Calls go by the platform's protocol, but for the destinations that another one serves beside it.
+    /// Creates a caller that uses the platform's protocol, except for destinations that `partners` serves.
     pub fn new(
         clock: Clock, inputs: mpsc::Sender<Input>, connections: Connections,
-        beside: Option<Arc<dyn Protocol>>,
+        partners: Option<Arc<dyn PartnerProtocol>>,
     ) -> Self {
-        Outbound { clock, inputs, connections, beside }
+        Outbound { clock, inputs, connections, partners }
     }
 
-    async fn run(self, call: OutboundCall, called_off: oneshot::Receiver<()>) {
+    async fn run(self, call: OutboundCall, cancelled: oneshot::Receiver<()>) {
         let began = self.clock.now();
-        let beside = self.beside.clone().filter(|beside| beside.serves(call.exchange.destination));
-        let ended = match beside {
-            Some(beside) => self.attempt_beside(&*beside, &call, called_off).await,
-            None => self.attempt(&call, began, called_off).await,
+        let partners =
+            self.partners.clone().filter(|partners| partners.serves_destination(call.exchange.destination));
+        let ended = match partners {
+            Some(partners) => self.attempt_to_partner(&*partners, &call, cancelled).await,
+            None => self.attempt(&call, began, cancelled).await,
         };
         let Ended { outcome, verdict, report, progress } = ended;
-        // Between here and the runtime's hearing of it nothing else is told, so that no call that the module decides on
-        // knowing less finds this wait in its way again and again.
+        // The runtime learns of this wait by the next input. The guard is set just before it, so that calls decided without
+        // knowledge of the wait are not refused repeatedly.
         if let Some(wait) = progress.wait {
-            self.connections.clearance().wait(call.lane, self.clock.now() + wait);
+            self.connections.send_guard().hold_path(call.lane, self.clock.now() + wait);
         }
         let report = Report { wait: progress.wait, ..report };
         let (id, attempt, target) = (call.exchange.id.clone(), call.attempt, call.target);
@@ -62,12 +63,12 @@
             endpoint = &*call.address,
             ?outcome,
             verdict = verdict.word(),
-            status = progress.first,
+            status = progress.status,
             heard = ?progress.heard,
             began,
             connection = progress.connection,
             calls_before = progress.calls_before,
-            rested = progress.rested,
+            rested = progress.idle_for,
             left = report.left,
             limit = report.limit,
             "attempt ended"
@@ -77,51 +78,51 @@
         let _ = self.inputs.send(Input::Ended(end)).await;
     }
 
-    /// An attempt by the protocol beside the platform's, whose receipts alone prove a delivery.
-    async fn attempt_beside(
-        &self, beside: &dyn Protocol, call: &OutboundCall, called_off: oneshot::Receiver<()>,
+    /// Makes an attempt by the protocol of a partner, where only a receipt proves a delivery.
+    async fn attempt_to_partner(
+        &self, partners: &dyn PartnerProtocol, call: &OutboundCall, cancelled: oneshot::Receiver<()>,
     ) -> Ended {
         let mut progress = Progress::default();
         let by = self.clock.instant(call.deadline);
         let outcome = tokio::select! {
             biased;
-            outcome = beside.attempt(call, &mut progress) => outcome,
-            () = is_called_off(called_off) => Outcome::Cancelled,
+            outcome = partners.attempt(call, &mut progress) => outcome,
+            () = wait_cancelled(cancelled) => Outcome::Cancelled,
             () = tokio::time::sleep_until(by) => Outcome::TimedOut,
         };
         let outcome = match outcome {
             Outcome::Ok | Outcome::Skipped => outcome,
-            // What was not written to its last byte never ran, however it ended.
+            // A request whose last byte was not written was not processed, however the call ended.
             _ if !progress.heard.written => Outcome::ConnectFailed,
             outcome => outcome,
         };
         Ended { outcome, verdict: outcome.verdict(), report: Report::default(), progress }
     }
 
-    async fn attempt(&self, call: &OutboundCall, began: Micros, called_off: oneshot::Receiver<()>) -> Ended {
-        // One message a call: a first line tells what became of it, whatever follows.
-        let mut progress = Progress::announced(call, &self.inputs);
-        let place = (call.address.clone(), Some(call.target));
+    async fn attempt(&self, call: &OutboundCall, began: Micros, cancelled: oneshot::Receiver<()>) -> Ended {
+        // A call carries one message, so the status line alone decides on it.
+        let mut progress = Progress::with_early_report(call, &self.inputs);
+        let key = (call.address.clone(), Some(call.target));
         let request = || self.request(call);
-        let called_off = is_called_off(called_off);
-        let answered =
-            match self.connections.call(&place, Some(call), request, &mut progress, called_off).await {
-                Ok(answered) => answered,
-                Err(outcome) => return Ended::without_answer(outcome, progress),
-            };
-        let heard_at = answered.at();
+        let cancelled = wait_cancelled(cancelled);
+        let answered = match self.connections.call(&key, Some(call), request, &mut progress, cancelled).await
+        {
+            Ok(answered) => answered,
+            Err(outcome) => return Ended::without_answer(outcome, progress),
+        };
+        let answered_at = answered.at();
         let settles = progress.heard.settles();
-        let released = match self.connections.release(&answered, &progress) {
-            Some(released) => {
-                progress.announce().await;
-                self.answered(call, answered.answer(), (began, heard_at)).await;
-                Some(released)
+        let reserved = match self.connections.reserve_settling(&answered, &progress) {
+            Some(reserved) => {
+                progress.report_early().await;
+                self.report_unsettled(call, answered.answer(), (began, answered_at)).await;
+                Some(reserved)
             }
             None => None,
         };
         let answer = self.connections.settle(answered, &mut progress).await;
-        drop(released);
-        let age = if settles { self.clock.now() - heard_at } else { 0 };
+        drop(reserved);
+        let age = if settles { self.clock.now() - answered_at } else { 0 };
         progress.wait = progress.wait.map(|wait| (wait - age).max(0));
         Ended::by_answer(&answer, age, progress)
     }
@@ -137,18 +138,21 @@
         request
     }
 
-    /// Tells what an answer means that is still to settle, so that the call holds no place at its destination meanwhile.
-    async fn answered(&self, call: &OutboundCall, answer: &Message, (began, heard): (Micros, Micros)) {
-        let outcome = read(answer, false, 0);
+    /// Reports the outcome of an unsettled answer, so that the call does not count as in flight until it is settled.
+    async fn report_unsettled(
+        &self, call: &OutboundCall, answer: &Message, (began, answered_at): (Micros, Micros),
+    ) {
+        let outcome = outcome_of(answer, false, 0);
         let (id, attempt, target) = (call.exchange.id.clone(), call.attempt, call.target);
-        let answered = Answered { id, attempt, target, outcome, began, at: heard, report: reported(answer) };
+        let answered =
+            Answered { id, attempt, target, outcome, began, at: answered_at, report: limit_report(answer) };
         let _ = self.inputs.send(Input::Answered(answered)).await;
     }
 }
 
-/// Comes once a call is called off; never, where nobody can any more.
-async fn is_called_off(called_off: oneshot::Receiver<()>) {
-    if called_off.await.is_err() {
+/// Completes once the call is cancelled. Never completes if its handle was dropped.
+async fn wait_cancelled(cancelled: oneshot::Receiver<()>) {
+    if cancelled.await.is_err() {
         std::future::pending().await
     }
 }
@@ -162,79 +166,80 @@
 }
 
 impl Ended {
-    /// With no whole answer.
+    /// Returns the end of a call without a complete answer.
     fn without_answer(outcome: Outcome, progress: Progress) -> Self {
         let verdict = progress.heard.verdict();
         let outcome = match (outcome, verdict) {
             (_, Verdict::Delivered) => Outcome::Ok,
             (_, Verdict::Over | Verdict::Spent { .. }) | (Outcome::Skipped, _) => Outcome::Skipped,
             (_, Verdict::MayHaveEnded) => Outcome::Spoilt,
-            // What was not written to its last byte never ran, however it ended.
+            // A request whose last byte was not written was not processed, however the call ended.
             _ if !progress.heard.written => Outcome::ConnectFailed,
             (outcome, Verdict::Owed { .. }) => outcome,
         };
         Ended { outcome, verdict, report: Report::default(), progress }
     }
 
-    /// By an answer that came so long ago.
+    /// Returns the end of a call by its answer, which arrived `age` microseconds ago.
     fn by_answer(answer: &Message, age: Micros, progress: Progress) -> Self {
         let verdict = progress.heard.verdict();
         if progress.heard.after == After::Surplus || verdict == Verdict::MayHaveEnded {
             return Ended { outcome: Outcome::Spoilt, verdict, report: Report::default(), progress };
         }
-        let outcome = read(answer, progress.opened, age);
-        Ended { outcome, verdict, report: reported(answer), progress }
+        let outcome = outcome_of(answer, progress.new_connection, age);
+        Ended { outcome, verdict, report: limit_report(answer), progress }
     }
 }
 
 impl Caller for Outbound {
     fn call(&self, call: OutboundCall) -> oneshot::Sender<()> {
-        let (handle, called_off) = oneshot::channel();
-        tokio::spawn(self.clone().run(call, called_off));
+        let (handle, cancelled) = oneshot::channel();
+        tokio::spawn(self.clone().run(call, cancelled));
         handle
     }
 
     fn close(&self, target: TargetId) {
-        self.connections.close(target);
+        self.connections.close_idle(target);
     }
 
-    fn clearance(&self) -> &Clearance {
-        self.connections.clearance()
+    fn send_guard(&self) -> &SendGuard {
+        self.connections.send_guard()
     }
 
     fn expected(&self, exchange: &Exchange) -> Option<Expected> {
-        self.beside.as_ref()?.expected(exchange)
+        self.partners.as_ref()?.expected_receipt(exchange)
     }
 }
 
-/// What an answer that came so long ago tells of its endpoint; `opened` where it is the first on its connection.
-fn read(answer: &Message, opened: bool, age: Micros) -> Outcome {
+/// Returns the outcome of an answer that arrived `age` microseconds ago. `new_connection` is whether it is the first on its
+/// connection.
+fn outcome_of(answer: &Message, new_connection: bool, age: Micros) -> Outcome {
     let Start::Response(status) = answer.start else { return Outcome::Reset };
-    let wait = full(answer).map(|wait| (wait - age).max(0));
+    let wait = retry_after(answer).map(|wait| (wait - age).max(0));
     match status {
         200 => Outcome::Ok,
         429 => Outcome::Full(wait),
         503 if answer.header("X-Over-Slots") == Some("1") => Outcome::Skipped,
-        // What turns a new connection away at once and ends it speaks of connections, not of calls.
-        503 if opened && !answer.keep_alive && wait.is_none() => Outcome::Crowded,
+        // An immediate refusal that closes a new connection is about connections, not about calls.
+        503 if new_connection && !answer.keep_alive && wait.is_none() => Outcome::Crowded,
         503 => Outcome::Full(wait),
         504 | 410 => Outcome::Skipped,
         _ => Outcome::Error,
     }
 }
 
-/// What an answer tells of the limit.
-fn reported(answer: &Message) -> Report {
-    report(answer.header("X-Backend-Load").unwrap_or_default())
+/// Returns the limit report of an answer.
+fn limit_report(answer: &Message) -> Report {
+    parse_limit_report(answer.header("X-Backend-Load").unwrap_or_default())
 }
 
-/// What an answer tells of the limit; one that cannot be read in full tells nothing.
-fn report(text: &str) -> Report {
-    let read = |text: &str| {
+/// Parses a limit report. A report that is invalid in any part is ignored.
+fn parse_limit_report(text: &str) -> Report {
+    let parse = |text: &str| {
         let mut report = Report::default();
         for pair in text.split(',') {
             let (name, value) = pair.trim().split_once('=')?;
-            let value = value.parse::<f64>().ok().filter(|value| (0.0..=MOST_REPORTED).contains(value))?;
+            let value = value.parse::<f64>().ok().filter(|value| (0.0..=MAX_REPORTED).contains(value))?;
             match name {
                 "x0" => report.left = Some(value),
                 "x1" => report.limit = Some(value),
@@ -243,7 +248,7 @@
         }
         Some(report)
     };
-    read(text).unwrap_or_default()
+    parse(text).unwrap_or_default()
 }
 
 #[cfg(test)]
@@ -251,19 +256,19 @@
     use super::*;
 
     #[test]
-    fn a_report_that_makes_no_sense_tells_nothing() {
-        let told = report("x0=0.4, x1=25");
-        assert_eq!((told.left, told.limit), (Some(0.4), Some(25.0)));
+    fn an_invalid_limit_report_is_ignored() {
+        let valid = parse_limit_report("x0=0.4, x1=25");
+        assert_eq!((valid.left, valid.limit), (Some(0.4), Some(25.0)));
         for text in
             ["", "x1", "x1=", "x1=many", "x1=NaN", "x1=-4", "x1=inf", "x1=1e300", "x0=0.4,x1=25,x1=?", "=,="]
         {
-            assert_eq!(report(text), Report::default(), "{text:?}");
+            assert_eq!(parse_limit_report(text), Report::default(), "{text:?}");
         }
     }
 
     #[test]
-    fn a_wait_that_makes_no_sense_is_none_and_a_huge_one_is_a_day() {
-        let wait = |text: &str| full(&Message::request("GET", "/").with("Retry-After", text));
+    fn an_invalid_retry_after_is_ignored_and_a_huge_one_is_limited_to_a_day() {
+        let wait = |text: &str| retry_after(&Message::request("GET", "/").with("Retry-After", text));
         assert_eq!(wait("0.25"), Some(250_000));
         for text in ["", "soon", "-1", "0", "NaN", "inf", "Wed, 21 Oct 2026 07:28:00 GMT"] {
             assert_eq!(wait(text), None, "{text:?}");
--- a/src/net/progress.rs
+++ b/src/net/progress.rs
@@ -1,5 +1,5 @@
-//! How far a call and its answer came, for whom that decides on the message. An answer that ends its message is told as soon as
-//! its first line is there, so that it can be stored before anything else happens.
+//! Progress of a call and its answer, as evidence for the decision on the message. An answer that ends its message is reported as
+//! soon as its status line has arrived, so that this can be stored before anything else happens.
 
 use record::model::Evidence;
 use tokio::sync::mpsc;
@@ -9,75 +9,76 @@
 use crate::input::Input;
 use crate::interface::Micros;
 
-/// How far a request and its answer came.
+/// How much of a request was sent and of its answer received.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
-    /// What was heard.
+    /// The evidence for the decision.
     pub heard: Heard,
-    /// The status in the answer's first line.
-    pub first: Option<u16>,
-    /// It went out on a new connection.
-    pub opened: bool,
-    /// The wait that the head of an answer told which turned the call away.
+    /// HTTP status of the answer's status line.
+    pub status: Option<u16>,
+    /// Whether the call was sent on a new connection.
+    pub new_connection: bool,
+    /// The wait requested by a refusal, in microseconds.
     pub wait: Option<Micros>,
-    /// A receipt that proves the request processed.
+    /// A receipt that proves that the request was processed.
     pub receipt: Option<Evidence>,
-    /// When the whole answer had come.
+    /// When the complete answer had arrived.
     pub answered: Option<Micros>,
-    /// The number of the connection in this process, if one was there.
+    /// Number of the connection in this process, if there was one.
     pub connection: Option<u64>,
-    /// Calls that it had carried before.
+    /// Number of calls that the connection had carried before.
     pub calls_before: u32,
-    /// For how long it had rested, in microseconds.
-    pub rested: Micros,
-    /// Hears of a first line that may end the message; without it, first lines tell nothing by themselves.
-    announcer: Option<Announcer>,
+    /// Time for which the connection had been idle, in microseconds.
+    pub idle_for: Micros,
+    /// Reports a status line that may end the message. Without it, the status line alone decides nothing.
+    early_report: Option<EarlyReport>,
 }
 
-/// Tells the runtime what a first line says.
+/// Reports to the runtime what a status line decides.
 #[derive(Clone, Debug)]
-struct Announcer {
+struct EarlyReport {
     inputs: mpsc::Sender<Input>,
     id: String,
     attempt: u32,
-    told: Option<Verdict>,
+    reported: Option<Verdict>,
 }
 
 impl Progress {
-    /// Of a call whose answer's first line may end its message; `inputs` hears that.
-    pub fn announced(call: &OutboundCall, inputs: &mpsc::Sender<Input>) -> Self {
+    /// Creates the progress of a call whose status line may end its message, which is reported to `inputs`.
+    pub fn with_early_report(call: &OutboundCall, inputs: &mpsc::Sender<Input>) -> Self {
         let (inputs, id) = (inputs.clone(), call.exchange.id.clone());
-        let announcer = Some(Announcer { inputs, id, attempt: call.attempt, told: None });
-        Progress { announcer, ..Progress::default() }
+        let early_report = Some(EarlyReport { inputs, id, attempt: call.attempt, reported: None });
+        Progress { early_report, ..Progress::default() }
     }
 
-    /// Whether an answer's first line tells all, so that the rest is awaited for the connection's sake alone.
-    pub fn first_tells(&self) -> bool {
-        self.announcer.is_some()
+    /// Returns whether the status line of the answer decides on the message, so that the rest is read for the sake of the
+    /// connection only.
+    pub fn status_line_decides(&self) -> bool {
+        self.early_report.is_some()
     }
 
-    /// Tells what was heard so far, if it may end the message and was not told before. Whoever waits for more has told it before.
-    pub async fn announce(&mut self) {
+    /// Reports what was received so far, if it may end the message and was not reported before. Called before each wait for more.
+    pub async fn report_early(&mut self) {
         let verdict = self.heard.verdict();
-        let Some(announcer) = self.announcer.as_mut() else { return };
-        if verdict.owed() || announcer.told == Some(verdict) {
+        let Some(early_report) = self.early_report.as_mut() else { return };
+        if verdict.owed() || early_report.reported == Some(verdict) {
             return;
         }
-        announcer.told = Some(verdict);
-        let heard = CallHeard { id: announcer.id.clone(), attempt: announcer.attempt, verdict };
-        let _ = announcer.inputs.send(Input::Heard(heard)).await;
+        early_report.reported = Some(verdict);
+        let heard = CallHeard { id: early_report.id.clone(), attempt: early_report.attempt, verdict };
+        let _ = early_report.inputs.send(Input::Heard(heard)).await;
     }
 
-    /// Takes bytes that came and are not the whole first line.
-    pub fn part_of_line(&mut self, bytes: &[u8]) {
-        if self.first.is_none() && self.heard.extent == Extent::Nothing {
+    /// Records received bytes that are not a complete status line.
+    pub fn record_partial_line(&mut self, bytes: &[u8]) {
+        if self.status.is_none() && self.heard.extent == Extent::Nothing {
             self.heard.extent = Extent::of_part(bytes);
         }
     }
 
-    /// What was heard, as evidence.
+    /// Returns the receipt or status line as evidence.
     pub fn evidence(&self) -> Evidence {
-        let line = self.first.map(|status| Evidence::Status(format!("HTTP/1.1 {status}")));
+        let line = self.status.map(|status| Evidence::Status(format!("HTTP/1.1 {status}")));
         self.receipt.clone().or(line).unwrap_or_default()
     }
 }
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -1,7 +1,7 @@
-//! A connection on which an interrupted call, or a shortage of memory for a moment, is not its end.
+//! A stream socket that survives interrupted system calls and temporary shortages of memory.
 //!
-//! A short count is no sign that nothing more is there: readiness is given up only when the system says that a call would block.
-//! What Linux documents for each error of a connection stands in `docs/faults.md`.
+//! A short read or write does not mean that the socket is not ready: readiness is cleared only when a call would block. The errors
+//! that Linux documents for a connection are listed in `docs/faults.md`.
 
 use std::future::Future;
 use std::io::{Error, ErrorKind, Result};
@@ -14,7 +14,7 @@
 use tokio::net::{TcpStream, UnixStream};
 use tokio::time::Sleep;
 
-/// Pause after a call for which the system had no memory.
+/// Pause after a system call that failed for lack of memory.
 const SHORTAGE_PAUSE: Duration = Duration::from_millis(5);
 
 /// A stream socket of the event loop.
@@ -29,7 +29,6 @@
     fn write_once(&self, bytes: &[u8]) -> Result<usize>;
 }
 
-/// Implements the trait by the methods of the same meaning.
 macro_rules! socket {
     ($type:ty) => {
         impl Socket for $type {
@@ -55,7 +54,7 @@
 socket!(TcpStream);
 socket!(UnixStream);
 
-/// A stream socket whose calls are made again where that is all an error asks for.
+/// A stream socket that repeats system calls after recoverable errors.
 #[derive(Debug)]
 pub struct Stream<S = TcpStream> {
     socket: S,
@@ -63,33 +62,33 @@
     pause: Option<Pin<Box<Sleep>>>,
 }
 
-/// What an error of one call asks for.
+/// How to proceed after an error of a system call.
 enum Remedy {
-    /// The same call at once, or once the socket is ready.
-    Again,
-    /// The same call after a pause.
+    /// Repeat the call, at once or when the socket is ready.
+    Retry,
+    /// Repeat the call after a pause.
     Pause,
-    /// Nothing helps: the connection has ended.
-    None,
+    /// Give up: the connection has ended.
+    GiveUp,
 }
 
 fn remedy(error: &Error) -> Remedy {
     match error.kind() {
-        ErrorKind::WouldBlock | ErrorKind::Interrupted => Remedy::Again,
+        ErrorKind::WouldBlock | ErrorKind::Interrupted => Remedy::Retry,
         _ => match error.raw_os_error().map(Errno::from_raw) {
             Some(Errno::ENOBUFS | Errno::ENOMEM) => Remedy::Pause,
-            _ => Remedy::None,
+            _ => Remedy::GiveUp,
         },
     }
 }
 
 impl<S> Stream<S> {
-    /// Over a socket that is connected.
+    /// Wraps a connected socket.
     pub fn new(socket: S) -> Self {
         Stream { socket, pause: None }
     }
 
-    /// The socket.
+    /// Returns the socket.
     pub fn socket(&self) -> &S {
         &self.socket
     }
@@ -102,7 +101,7 @@
         Poll::Ready(())
     }
 
-    /// Makes a call until it succeeds or the connection has ended.
+    /// Repeats a system call until it succeeds or the connection has ended.
     fn poll_call<T>(
         &mut self, context: &mut Context<'_>, ready: impl Fn(&S, &mut Context<'_>) -> Poll<Result<()>>,
         mut call: impl FnMut(&S) -> Result<T>,
@@ -115,16 +114,16 @@
                 Err(error) => error,
             };
             match remedy(&error) {
-                Remedy::Again => {}
+                Remedy::Retry => {}
                 Remedy::Pause => self.pause = Some(Box::pin(tokio::time::sleep(SHORTAGE_PAUSE))),
-                Remedy::None => return Poll::Ready(Err(error)),
+                Remedy::GiveUp => return Poll::Ready(Err(error)),
             }
         }
     }
 }
 
 impl Stream<TcpStream> {
-    /// Waits for the next bytes without taking them.
+    /// Waits for the next bytes without consuming them.
     ///
     /// # Errors
     /// If the connection has ended.
@@ -132,9 +131,9 @@
         loop {
             match self.socket.peek(buffer).await {
                 Err(error) => match remedy(&error) {
-                    Remedy::Again => {}
+                    Remedy::Retry => {}
                     Remedy::Pause => tokio::time::sleep(SHORTAGE_PAUSE).await,
-                    Remedy::None => return Err(error),
+                    Remedy::GiveUp => return Err(error),
                 },
                 peeked => return peeked,
             }
@@ -164,12 +163,12 @@
     }
 }
 
-/// Whether a connection could not be made for a reason of this machine's own, which says nothing about the other side: a
-/// shortage of descriptors, ports or memory, no network, or an interrupted call.
+/// Returns whether a connect error has a local cause, which says nothing about the peer: a shortage of descriptors, ports or memory,
+/// no network, or an interrupted call.
 pub fn failed_locally(error: &Error) -> bool {
-    let Some(number) = error.raw_os_error() else { return error.kind() == ErrorKind::Interrupted };
+    let Some(code) = error.raw_os_error() else { return error.kind() == ErrorKind::Interrupted };
     matches!(
-        Errno::from_raw(number),
+        Errno::from_raw(code),
         Errno::EINTR
             | Errno::EAGAIN
             | Errno::ENFILE
--- a/src/runtime/destinations.rs
+++ b/src/runtime/destinations.rs
@@ -32,7 +32,7 @@
         }
         let entries = self.read_entries(&raw);
         for entry in &entries {
-            self.caller.clearance().listed(entry.target, entry.listed == Listed::InService);
+            self.caller.send_guard().set_in_service(entry.target, entry.listed == Listed::InService);
         }
         self.tell_rates(&entries);
         self.handle(Event::List(form, entries));
@@ -67,7 +67,7 @@
     /// Removes an endpoint that is gone; endpoints are replaced as long as the process lives. The module sends nothing
     /// more to it, and a call in flight has its address.
     fn remove_target(&mut self, target: TargetId) {
-        self.caller.clearance().listed(target, false);
+        self.caller.send_guard().set_in_service(target, false);
         self.addresses.remove(&target);
         self.names.forget(target);
         self.effects.push(Effect::Close(target));
--- a/src/runtime/handover.rs
+++ b/src/runtime/handover.rs
@@ -24,7 +24,7 @@
         self.standing.enter(Phase::HandingOver);
         if offer.state.send(Box::new(self.handed())).is_ok() && offer.accepted.await.is_ok() {
             // The other process receives all further advice, so it decides anew on calls that are not sent yet.
-            self.caller.clearance().stop(self.clock.now());
+            self.caller.send_guard().stop_at(self.clock.now());
             return true;
         }
         self.standing.enter(Phase::Serving);
--- a/src/runtime/inputs.rs
+++ b/src/runtime/inputs.rs
@@ -6,7 +6,7 @@
 use crate::exchange::Receipt;
 use crate::input::{Input, Retuned};
 use crate::interface::*;
-use crate::net::inbound::Vocabulary;
+use crate::net::inbound::KnownNames;
 use crate::store::Record;
 
 use super::Runtime;
@@ -65,7 +65,7 @@
 
     fn stop(&mut self, until: Micros) {
         self.stop = Some((self.clock.now(), until));
-        self.caller.clearance().stop(self.settings.last_start(until));
+        self.caller.send_guard().stop_at(self.settings.last_start(until));
         self.handle(Event::Stop(until));
     }
 
@@ -75,7 +75,7 @@
         self.classes.replace(&classes, &settings.classes);
         self.max_held = settings.max_held as usize;
         self.settings = settings;
-        self.vocabulary.send_replace(Vocabulary::new(&classes, &self.settings.classes, &tenants));
+        self.vocabulary.send_replace(KnownNames::new(&classes, &self.settings.classes, &tenants));
         self.names.rename(classes, tenants);
         self.tell_settings();
     }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -28,8 +28,8 @@
 use crate::handed::{LeftOut, Offer};
 use crate::input::Input;
 use crate::interface::*;
-use crate::net::clearance::Clearance;
-use crate::net::inbound::Vocabulary;
+use crate::net::inbound::KnownNames;
+use crate::net::send_guard::SendGuard;
 use crate::recording::Outbox;
 use crate::rules::Relay;
 use crate::standing::Standing;
@@ -52,7 +52,7 @@
     /// Closes the idle connections to an endpoint.
     fn close(&self, target: TargetId);
     /// The conditions that hold back calls whose bytes have not been sent yet.
-    fn clearance(&self) -> &Clearance;
+    fn send_guard(&self) -> &SendGuard;
     /// The receipt that proves the delivery of a message, where its destination gives receipts.
     fn expected(&self, exchange: &Exchange) -> Option<Expected>;
 }
@@ -73,7 +73,7 @@
     names: Names,
     classes: Classes,
     settings: Settings,
-    vocabulary: watch::Sender<Vocabulary>,
+    vocabulary: watch::Sender<KnownNames>,
     /// Maximum number of messages held.
     max_held: usize,
     /// Maximum number of bytes in the bodies of messages held.
@@ -164,7 +164,7 @@
 
     /// Publishes the names of classes and tenants to the clients' side, also when settings change.
     #[must_use]
-    pub fn naming(mut self, vocabulary: watch::Sender<Vocabulary>) -> Self {
+    pub fn naming(mut self, vocabulary: watch::Sender<KnownNames>) -> Self {
         self.vocabulary = vocabulary;
         self
     }
--- a/src/runtime/outcomes.rs
+++ b/src/runtime/outcomes.rs
@@ -99,7 +99,7 @@
     /// process received.
     fn hold_back(&self, done: &Done, now: Micros) {
         if let (Some(wait), Some(lane)) = (done.told_wait(), self.relay.lane(done.target)) {
-            self.caller.clearance().wait(lane, now + wait);
+            self.caller.send_guard().hold_path(lane, now + wait);
         }
     }
 
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -19,8 +19,8 @@
 use tulipfall::input::Input;
 use tulipfall::interface::{Effect, Micros, Outcome, TargetId, Verdict};
 use tulipfall::net::connections::Connections;
-use tulipfall::net::http::Budget;
-use tulipfall::net::inbound::{Front, Inbound, Vocabulary, serve};
+use tulipfall::net::http::MemoryBudget;
+use tulipfall::net::inbound::{Inbound, InboundProtocol, KnownNames, serve};
 use tulipfall::net::outbound::Outbound;
 use tulipfall::rules::Relay;
 use tulipfall::runtime::{Caller, Runtime};
@@ -123,7 +123,7 @@
 
     /// Nothing of a call went out on this connection, which the relay then closes.
     async fn unused(&self, mut connection: TcpStream) {
-        self.connections.close(TargetId(7));
+        self.connections.close_idle(TargetId(7));
         let mut bytes = Vec::new();
         soon(connection.read_to_end(&mut bytes)).await.expect("a good end");
         assert_eq!(String::from_utf8_lossy(&bytes), "", "nothing went out");
@@ -174,7 +174,7 @@
 #[tokio::test]
 async fn a_wait_told_to_the_destination_elsewhere_holds_a_call_that_is_connecting_and_no_other() {
     let mut side = Side::new();
-    let wait = async |side: &Side| side.connections.clearance().wait(LANE, side.clock.now() + 30 * S);
+    let wait = async |side: &Side| side.connections.send_guard().hold_path(LANE, side.clock.now() + 30 * S);
     side.crossed(|_| {}, wait).await;
     // What does not share the wait goes.
     let endpoint = Endpoint::new();
@@ -187,8 +187,8 @@
 async fn a_shorter_wait_told_later_does_not_end_a_longer_one() {
     let mut side = Side::new();
     let waits = async |side: &Side| {
-        side.connections.clearance().wait(LANE, side.clock.now() + 30 * S);
-        side.connections.clearance().wait(LANE, side.clock.now() + 1);
+        side.connections.send_guard().hold_path(LANE, side.clock.now() + 30 * S);
+        side.connections.send_guard().hold_path(LANE, side.clock.now() + 1);
     };
     side.crossed(|_| {}, waits).await;
 }
@@ -196,8 +196,8 @@
 #[tokio::test]
 async fn a_drain_holds_a_call_that_is_connecting_and_a_return_lets_the_next_go() {
     let mut side = Side::new();
-    side.crossed(|_| {}, async |side| side.connections.clearance().listed(TargetId(7), false)).await;
-    side.connections.clearance().listed(TargetId(7), true);
+    side.crossed(|_| {}, async |side| side.connections.send_guard().set_in_service(TargetId(7), false)).await;
+    side.connections.send_guard().set_in_service(TargetId(7), true);
     let endpoint = Endpoint::new();
     let _handle = side.outbound.call(side.call("again", &endpoint));
     request(&mut endpoint.accept().await).await;
@@ -208,11 +208,11 @@
     let (mut side, endpoint) = (Side::new(), Endpoint::new());
     let _plug = endpoint.plug().await;
     let _held = side.outbound.call(side.call("held", &endpoint));
-    side.connections.clearance().listed(TargetId(7), false);
+    side.connections.send_guard().set_in_service(TargetId(7), false);
     endpoint.accept().await;
     let mut connection = endpoint.accept().await;
     assert_eq!(side.end().await.outcome, Outcome::Skipped);
-    side.connections.clearance().listed(TargetId(7), true);
+    side.connections.send_guard().set_in_service(TargetId(7), true);
     let _next = side.outbound.call(side.call("next", &endpoint));
     assert!(request(&mut connection).await.contains("X-Correlation-Id: next"));
 }
@@ -220,7 +220,7 @@
 #[tokio::test]
 async fn a_stop_holds_a_call_that_is_connecting() {
     let mut side = Side::new();
-    side.crossed(|_| {}, async |side| side.connections.clearance().stop(side.clock.now())).await;
+    side.crossed(|_| {}, async |side| side.connections.send_guard().stop_at(side.clock.now())).await;
 }
 
 #[tokio::test]
@@ -245,11 +245,11 @@
     let known = config.known.map(|known| known.members).unwrap_or_default();
     runtime.resume(known, vec![], replay).expect("stored");
     let call = side.call("late", &endpoint);
-    assert!(side.connections.clearance().allows(&call));
+    assert!(side.connections.send_guard().allows(&call));
     let (inputs, received) = mpsc::channel(4);
     inputs.send(Input::Stop(side.clock.now() + 1)).await.expect("heard");
     soon(runtime.run(received)).await.expect("a good end");
-    assert!(!side.connections.clearance().allows(&call), "nothing starts in a process that ends");
+    assert!(!side.connections.send_guard().allows(&call), "nothing starts in a process that ends");
     let _handle = side.outbound.call(call);
     let connection = endpoint.accept().await;
     assert_eq!(side.end().await.outcome, Outcome::Skipped);
@@ -274,7 +274,7 @@
     let mut connection = endpoint.accept().await;
     let mut bytes = vec![0];
     soon(connection.read_exact(&mut bytes)).await.expect("its first byte");
-    side.connections.clearance().wait(LANE, side.clock.now() + 30 * S);
+    side.connections.send_guard().hold_path(LANE, side.clock.now() + 30 * S);
     assert_eq!(side.end().await.outcome, Outcome::Skipped);
     let mut rest = Vec::new();
     let _ = soon(connection.read_to_end(&mut rest)).await;
@@ -316,7 +316,7 @@
 async fn a_connection_that_stayed_unused_is_as_old_as_before() {
     let (mut side, endpoint) = (Side::with_idle(S / 5), Endpoint::new());
     let connection = side.served(&endpoint).await;
-    side.connections.clearance().wait(LANE, side.clock.now() + 30 * S);
+    side.connections.send_guard().hold_path(LANE, side.clock.now() + 30 * S);
     // Calls that are held again and again must not keep it young: the endpoint closes it by its own clock.
     let began = side.clock.now();
     while side.clock.now() < began + S {
@@ -324,7 +324,7 @@
         if side.end().await.outcome != Outcome::Skipped {
             break;
         }
-        side.connections.retire();
+        side.connections.close_expired();
         let mut byte = [0];
         if matches!(connection.try_read(&mut byte), Ok(0)) {
             return;
@@ -448,11 +448,13 @@
 impl Door {
     async fn open() -> Self {
         let (clock, (to, inputs)) = (Clock::start(), mpsc::channel(16));
-        let names = Vocabulary { classes: vec!["any".into()], ..Vocabulary::default() };
-        let (reading, busy, guests) = Default::default();
+        let names = KnownNames { classes: vec!["any".into()], ..KnownNames::default() };
+        let (reading, busy, connections) = Default::default();
         let standing = Arc::new(Standing::starting(clock));
-        let (front, budget) = (Front::Platform(watch::channel(names).1), Budget::new(1 << 20));
-        let inbound = Arc::new(Inbound { clock, front, inputs: to, budget, reading, busy, guests, standing });
+        let (protocol, budget) =
+            (InboundProtocol::Platform(watch::channel(names).1), MemoryBudget::new(1 << 20));
+        let inbound =
+            Arc::new(Inbound { clock, protocol, inputs: to, budget, reading, busy, connections, standing });
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
         let address = listener.local_addr().expect("an address");
         tokio::spawn(serve(listener, inbound.clone(), Arc::new(8.into())));
@@ -503,7 +505,7 @@
     door.inbound.standing.enter(Phase::Stopping);
     door.inputs.close();
     let inbound = door.inbound.clone();
-    let answered = tokio::spawn(async move { inbound.answered(inbound.clock.now() + 20 * S).await });
+    let answered = tokio::spawn(async move { inbound.wait_answered(inbound.clock.now() + 20 * S).await });
     tokio::task::yield_now().await;
     assert!(!answered.is_finished(), "half a request is waited for");
     stream.write_all(second.as_bytes()).await.expect("written");
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -11,7 +11,7 @@
 use tulipfall::exchange::Clock;
 use tulipfall::input::Input;
 use tulipfall::interface::Micros;
-use tulipfall::net::discovery::{BackOff, WATCH, WATCH_PUSHED, follow, longest_pause};
+use tulipfall::net::discovery::{Backoff, LOCAL_WATCH_WAIT, WATCH_WAIT, max_pause, watch_list};
 
 /// No step of a test takes so long.
 const FAR: Duration = Duration::from_secs(30);
@@ -39,8 +39,9 @@
 /// All relays of a fleet ask until they are answered: how many calls that took in `within`, and how many have a list.
 fn asked(relays: u32, within: Micros) -> (usize, usize) {
     let mut discovery = Discovery { busy_until: 0 };
-    let mut pauses: Vec<BackOff> = (0..relays).map(|n| BackOff::new(relays, u64::from(n) * 77, S)).collect();
-    let mut next: Vec<(Micros, usize)> = pauses.iter().enumerate().map(|(n, p)| (p.start(), n)).collect();
+    let mut pauses: Vec<Backoff> = (0..relays).map(|n| Backoff::new(relays, u64::from(n) * 77, S)).collect();
+    let mut next: Vec<(Micros, usize)> =
+        pauses.iter().enumerate().map(|(n, p)| (p.initial_delay(), n)).collect();
     let (mut calls, mut lists) = (0, 0);
     while let Some(i) = (0..next.len()).min_by_key(|i| next[*i]) {
         let (now, relay) = next.swap_remove(i);
@@ -50,7 +51,7 @@
         calls += 1;
         match discovery.call(now) {
             (_, true) => lists += 1,
-            (at, false) => next.push((at + pauses[relay].failed(LONGEST), relay)),
+            (at, false) => next.push((at + pauses[relay].next_pause(LONGEST), relay)),
         }
     }
     (calls, lists)
@@ -73,20 +74,20 @@
 #[test]
 fn a_few_relays_ask_again_as_soon_as_before() {
     for seed in 0..50 {
-        let mut pauses = BackOff::new(2, seed, S);
-        assert!(pauses.start() <= 20 * MS);
-        assert!((20 * MS..=60 * MS).contains(&pauses.failed(LONGEST)));
-        let longest = (0..20).map(|_| pauses.failed(LONGEST)).max();
+        let mut pauses = Backoff::new(2, seed, S);
+        assert!(pauses.initial_delay() <= 20 * MS);
+        assert!((20 * MS..=60 * MS).contains(&pauses.next_pause(LONGEST)));
+        let longest = (0..20).map(|_| pauses.next_pause(LONGEST)).max();
         assert!(longest <= Some(S), "and never far apart: {longest:?}");
-        pauses.answered();
-        assert!(pauses.failed(LONGEST) <= 60 * MS, "an answer starts anew");
+        pauses.reset();
+        assert!(pauses.next_pause(LONGEST) <= 60 * MS, "an answer starts anew");
     }
 }
 
 #[test]
 fn however_many_relays_there_are_each_asks_well_within_the_grace_of_a_drain() {
     for relays in [2, 100, 300, 10_000] {
-        let latest = (0..1000).map(|seed| BackOff::new(relays, seed * 77, S).start()).max();
+        let latest = (0..1000).map(|seed| Backoff::new(relays, seed * 77, S).initial_delay()).max();
         assert!(latest <= Some(S / 2), "{relays} relays: the last asks after {latest:?} us");
     }
 }
@@ -94,9 +95,9 @@
 #[test]
 fn however_many_relays_there_are_no_pause_is_longer_than_news_may_take_and_all_are_spread() {
     for relays in [1, 2, 100, 300, 10_000] {
-        let mut pauses: Vec<BackOff> = (0..300).map(|n| BackOff::new(relays, n * 77, S)).collect();
+        let mut pauses: Vec<Backoff> = (0..300).map(|n| Backoff::new(relays, n * 77, S)).collect();
         for _ in 0..12 {
-            let of_all: Vec<Micros> = pauses.iter_mut().map(|pause| pause.failed(LONGEST)).collect();
+            let of_all: Vec<Micros> = pauses.iter_mut().map(|pause| pause.next_pause(LONGEST)).collect();
             let (least, most) = (of_all.iter().min(), of_all.iter().max());
             assert!(most <= Some(&LONGEST), "{relays} relays: {most:?}");
             assert!(
@@ -114,10 +115,10 @@
         ("refused at once", 0, 50 * MS, false, 6 * S + 50 * MS),
         ("a watch that broke off", 20 * S, 7 * S, false, 13 * S),
         ("a silent list", 0, S, true, 6 * S),
-        ("a silent watch", WATCH_PUSHED, WATCH_PUSHED + S, true, 6 * S),
-        ("a silent watch that waits long", WATCH, WATCH + S, true, 22 * S),
+        ("a silent watch", LOCAL_WATCH_WAIT, LOCAL_WATCH_WAIT + S, true, 6 * S),
+        ("a silent watch that waits long", WATCH_WAIT, WATCH_WAIT + S, true, 22 * S),
     ] {
-        let pause = longest_pause(took, 0, wait, silent);
+        let pause = max_pause(took, 0, wait, silent);
         assert!(pause >= 0 && (pause == 0 || took + pause + S + 500 * MS <= told), "{name}: {pause}");
         assert!(took + pause < told, "{name}: the next call begins before then");
     }
@@ -138,8 +139,8 @@
         let (address, asked) = watch::channel(Some(at));
         let (to, inputs) = mpsc::channel(16);
         let clock = Clock::start();
-        let pauses = (BackOff::new(relays, 5, S).watching(), WATCH_PUSHED);
-        tokio::spawn(follow(clock, asked, Arc::new(41.into()), pauses, to));
+        let pauses = (Backoff::new(relays, 5, S).resuming(), LOCAL_WATCH_WAIT);
+        tokio::spawn(watch_list(clock, asked, Arc::new(41.into()), pauses, to));
         Agent { listener, address, inputs, clock }
     }
 
--- a/tests/outage.rs
+++ b/tests/outage.rs
@@ -15,7 +15,7 @@
 use tulipfall::exchange::{Answer, CallEnd, Clock, Exchange, Notice, OutboundCall};
 use tulipfall::input::Input;
 use tulipfall::interface::*;
-use tulipfall::net::clearance::Clearance;
+use tulipfall::net::send_guard::SendGuard;
 use tulipfall::rules::Relay;
 use tulipfall::runtime::{Caller, Runtime};
 use tulipfall::store::{Folder, Journal, Replay, Storage};
@@ -75,7 +75,7 @@
 struct Started {
     calls: mpsc::UnboundedSender<OutboundCall>,
     handles: Arc<Mutex<Vec<oneshot::Receiver<()>>>>,
-    clearance: Clearance,
+    send_guard: SendGuard,
 }
 
 impl Caller for Started {
@@ -88,8 +88,8 @@
 
     fn close(&self, _: TargetId) {}
 
-    fn clearance(&self) -> &Clearance {
-        &self.clearance
+    fn send_guard(&self) -> &SendGuard {
+        &self.send_guard
     }
 
     fn expected(&self, _: &Exchange) -> Option<Expected> {
@@ -125,7 +125,7 @@
         let (journal, replay) =
             Journal::replay_from(Box::new(storage), config.journal_room()).expect("a journal");
         let ((notice, notices), (started, calls)) = (mpsc::unbounded_channel(), mpsc::unbounded_channel());
-        let caller = Started { calls: started, handles: Arc::default(), clearance: Clearance::new(clock) };
+        let caller = Started { calls: started, handles: Arc::default(), send_guard: SendGuard::new(clock) };
         let relay = (Relay::new(config.settings.clone(), 1).expect("sound"), config.settings.clone());
         let names = config.names.clone();
         let mut runtime = Runtime::new(clock, relay, names, (99, 1 << 20), journal, Box::new(caller), notice);
