--- a/tests/as2.rs
+++ b/tests/as2.rs
@@ -172,7 +172,7 @@
 
     fn connection(&self, mut stream: TcpStream) {
         // What the relay gave up stays open on this side, as a hung partner's would.
-        while let Some(request) = hear(&mut stream) {
+        while let Some(request) = read_http(&mut stream) {
             let mood = self.mood();
             if matches!(mood, Mood::Full) {
                 let _ =
@@ -197,13 +197,16 @@
                     let _ = stream.write_all(&response("text/plain", b""));
                 }
                 // Silent for as long as the relay holds on.
-                Mood::DropReceipt => drop(hear(&mut stream)),
+                Mood::DropReceipt => drop(read_http(&mut stream)),
                 _ if asynchronous => {
                     let _ = stream.write_all(&response("text/plain", b""));
                     let to = self.receipts_at.lock().expect("a lock").clone();
                     if let Ok(mut back) = TcpStream::connect(to) {
                         let _ = back.set_read_timeout(Some(Duration::from_secs(2)));
-                        let _ = ask(&mut back, &post("HOUSE", "RELAY", "<mdn@house>", "", &report, key));
+                        let _ = send_and_read(
+                            &mut back,
+                            &post("HOUSE", "RELAY", "<mdn@house>", "", &report, key),
+                        );
                     }
                 }
                 _ => {
@@ -294,11 +297,11 @@
             let effects = effects.clone();
             std::thread::spawn(move || {
                 let mut chance = Chance(0x51AB);
-                while let Some(request) = hear(&mut stream) {
+                while let Some(request) = read_http(&mut stream) {
                     effects.note(&String::from_utf8_lossy(&request.body));
                     match chance.below(8) {
                         0 => return,
-                        1 => drop(hear(&mut stream)),
+                        1 => drop(read_http(&mut stream)),
                         _ => drop(stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")),
                     }
                 }
@@ -337,7 +340,7 @@
     let reach = |addresses: &Mutex<Vec<String>>, which: usize| {
         let address = addresses.lock().expect("a lock")[which].clone();
         let stream = TcpStream::connect(address).ok()?;
-        stream.set_read_timeout(Some(FAR)).ok()?;
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
         // A connection to a port that nobody listens on any more can meet itself.
         (stream.local_addr().ok()? != stream.peer_addr().ok()?).then_some(stream)
     };
@@ -363,7 +366,8 @@
                     let body = format!("{class} {run} {client} {n}");
                     let dest = 1 + chance.below(2) as i64;
                     let id = format!("{run}-{client}-{n}");
-                    match ask(&mut stream, &handed_in(class, &id, dest, 1500, body.as_bytes())) {
+                    match send_and_read(&mut stream, &submit_request(class, &id, dest, 1500, body.as_bytes()))
+                    {
                         Some(answer) if answer.status() == 202 => {
                             taken.fetch_add(1, Ordering::Relaxed);
                             latest.fetch_max(began.elapsed().as_secs(), Ordering::Relaxed);
@@ -395,7 +399,7 @@
                     if stream.write_all(&request).is_err() || chance.below(4) == 0 {
                         continue; // The receipt is lost, or the desk hangs up before it.
                     }
-                    let Some(answer) = hear(&mut stream).filter(|answer| answer.status() == 200) else {
+                    let Some(answer) = read_http(&mut stream).filter(|answer| answer.status() == 200) else {
                         continue;
                     };
                     let kind = answer.header("Content-Type").unwrap_or_default();
@@ -427,7 +431,7 @@
     clients.into_iter().for_each(|client| client.join().expect("a client's end"));
     desk.join().expect("the desk's end");
     program.terminate();
-    assert!(program.ended_well());
+    assert!(program.wait_success());
     let ((charges, twice), (updates, repeated)) =
         (effects.count("paid-extra"), effects.count("status-update"));
     let (taken, refused) = (taken.load(Ordering::Relaxed), refused.load(Ordering::Relaxed));
@@ -478,18 +482,18 @@
     }
 
     /// Hands in a charge for the house's asynchronous side; the house hears it and accepts.
-    fn charge(&self, id: &str) -> (TcpStream, Heard) {
+    fn charge(&self, id: &str) -> (TcpStream, HttpMessage) {
         let mut client = connect(&self.program.addresses[0]);
-        let answer = ask(&mut client, &handed_in("paid-extra", id, 2, 1500, id.as_bytes()));
+        let answer = send_and_read(&mut client, &submit_request("paid-extra", id, 2, 1500, id.as_bytes()));
         assert_eq!(answer.map(|answer| answer.status()), Some(202));
         let mut stream = accept(&self.house);
-        let heard = hear(&mut stream).expect("a message");
+        let heard = read_http(&mut stream).expect("a message");
         stream.write_all(&response("text/plain", b"")).expect("written");
         (stream, heard)
     }
 
     /// Posts a receipt for what the house heard.
-    fn receipt(&self, heard: &Heard, key: &Key, mic_of: Option<&[u8]>) -> Heard {
+    fn receipt(&self, heard: &HttpMessage, key: &Key, mic_of: Option<&[u8]>) -> HttpMessage {
         let kind = heard.header("Content-Type").unwrap_or_default();
         let part = verify(kind, &heard.body, &self.names[0].1).expect("the relay's signature");
         let id = heard.header("Message-ID").unwrap_or_default();
@@ -497,15 +501,15 @@
         self.post(&post("HOUSE", "RELAY", "<mdn@house>", "", &report, key))
     }
 
-    fn post(&self, request: &[u8]) -> Heard {
-        ask(&mut connect(&self.program.addresses[1]), request).expect("an answer")
+    fn post(&self, request: &[u8]) -> HttpMessage {
+        send_and_read(&mut connect(&self.program.addresses[1]), request).expect("an answer")
     }
 
     /// What the record holds once the program is over: outcome, effect and attempts of its messages, and how
     /// many receipts came to light beside an end.
     fn recorded(&mut self) -> (Vec<(String, String, i64)>, i64) {
         self.program.terminate();
-        assert!(self.program.ended_well(), "so that what was under way is recorded");
+        assert!(self.program.wait_success(), "so that what was under way is recorded");
         let tables = rusqlite::Connection::open(self.folder.join("state/relay.sqlite")).expect("opens");
         let mut ends = tables.prepare("SELECT outcome, effect, attempts FROM record_message").expect("SQL");
         let ends = ends.query_map([], |row| Ok((row.get(0)?, row.get(1)?, row.get(2)?))).expect("rows");
@@ -524,10 +528,10 @@
 fn a_late_receipt_is_recorded_and_changes_no_answer() {
     let mut scene = Scene::set("as2-late");
     let (_house, heard) = scene.charge("late");
-    scene.program.logged("\"outcome\":\"given_up\"");
+    scene.program.wait_for_log("\"outcome\":\"given_up\"");
     let key = scene.names[1].clone();
     assert_eq!(scene.receipt(&heard, &key, None).status(), 200);
-    scene.program.logged("late receipt for <late@RELAY>");
+    scene.program.wait_for_log("late receipt for <late@RELAY>");
     assert_eq!(scene.recorded(), (end("failed", "took", 1), 1), "it settles what was in doubt");
 }
 
@@ -541,7 +545,7 @@
     assert!(wrong.status() == 400 && wrong.body.starts_with(b"mic-mismatch"), "{wrong:?}");
     let wrong = scene.receipt(&heard, &stranger, None);
     assert!(wrong.status() == 400 && wrong.body.starts_with(b"authentication-failed"), "{wrong:?}");
-    scene.program.logged("\"outcome\":\"given_up\"");
+    scene.program.wait_for_log("\"outcome\":\"given_up\"");
     assert_eq!(scene.recorded(), (end("failed", "in_doubt", 1), 0));
 }
 
@@ -560,7 +564,7 @@
     let (desk, stranger) = (scene.names[2].clone(), identity("STRANGER"));
     let want = "Disposition-Notification-To: DESK\r\n";
     let part = content("faulty");
-    let told = |heard: Heard| {
+    let told = |heard: HttpMessage| {
         let kind = heard.header("Content-Type").unwrap_or_default();
         match verify(kind, &heard.body, &scene.names[0].1) {
             Ok(part) => Disposition::read(&part).expect("a receipt").disposition,
@@ -586,7 +590,7 @@
     let good = post("DESK", "RELAY", "<4@desk>", want, &content("good"), &desk);
     assert_eq!(told(scene.post(&good)), "processed");
     let mut endpoint = accept(&scene.plain);
-    let first = hear(&mut endpoint).expect("a call");
+    let first = read_http(&mut endpoint).expect("a call");
     assert_eq!(first.body, b"faulty", "the one with a sound signature");
 }
 
@@ -600,7 +604,7 @@
     let receipt = || {
         assert_eq!(scene.post(&request).status(), 200);
         let mut stream = accept(&scene.receipts);
-        let heard = hear(&mut stream).expect("a receipt");
+        let heard = read_http(&mut stream).expect("a receipt");
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
         heard
     };
@@ -610,7 +614,7 @@
     said.expect("a receipt").proves(&mic(&part)).expect("for what was sent");
     assert_eq!(receipt(), first);
     let mut endpoint = accept(&scene.plain);
-    assert_eq!(hear(&mut endpoint).expect("a call").body, b"a charge");
+    assert_eq!(read_http(&mut endpoint).expect("a call").body, b"a charge");
     endpoint.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("written");
 }
 
--- a/tests/attribution.rs
+++ b/tests/attribution.rs
@@ -39,8 +39,8 @@
         let (class, last) = if n % 2 == 0 { ("status-update", "0") } else { ("paid-extra", ONCE) };
         let id = format!("{number}-{n}-{last}");
         let destination = (number + n / 2) % destinations;
-        let request = handed_in(class, &id, destination as i64, TIME_LEFT_MS, id.as_bytes());
-        let answer = ask(&mut stream, &request).expect("an answer");
+        let request = submit_request(class, &id, destination as i64, TIME_LEFT_MS, id.as_bytes());
+        let answer = send_and_read(&mut stream, &request).expect("an answer");
         if answer.status() == 202 {
             let due = now + Duration::from_millis(TIME_LEFT_MS);
             accepted.lock().expect("no panic").insert(id, due);
--- a/tests/attribution/endpoints.rs
+++ b/tests/attribution/endpoints.rs
@@ -10,7 +10,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::stand::hear;
+use crate::stand::read_http;
 
 /// Time between two looks at a connection while a call is served.
 const LOOK: Duration = Duration::from_millis(1);
@@ -138,7 +138,7 @@
     let _ = stream.set_nodelay(true);
     // Answers and what follows them are written whole, one after the other.
     let writer = Arc::new(Mutex::new(stream.try_clone().expect("a descriptor")));
-    while let Some(request) = hear(&mut stream) {
+    while let Some(request) = read_http(&mut stream) {
         let id = request.header("X-Correlation-Id").unwrap_or_default().to_string();
         let call = note(seen, &id, &stream);
         let until = Instant::now() + Duration::from_millis(rng.random_range(WORK_MS));
@@ -205,7 +205,7 @@
         for (number, mut stream) in (0..).zip(listener.incoming().flatten()) {
             let (seen, mut rng) = (seen.clone(), SmallRng::seed_from_u64(seed ^ number));
             std::thread::spawn(move || {
-                while let Some(request) = hear(&mut stream) {
+                while let Some(request) = read_http(&mut stream) {
                     let answer = match request.head.starts_with("POST /reports ") {
                         true if rng.random_bool(unanswered) => return,
                         true => {
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -16,7 +16,7 @@
 use rollout::topology::{Machine, Place, Role, Topology};
 use serde_json::Value;
 use stand::control::{Control, control_key, foreign_key, hex, next_change, put};
-use stand::partner::{Partner, until};
+use stand::partner::{Partner, wait_until};
 use stand::*;
 use tokio::sync::{mpsc, watch};
 use tulipfall::exchange::{Clock, Member};
@@ -91,7 +91,7 @@
     fn shown(&self) -> Value {
         let control = self.folder.join(format!("n{}.control", self.number));
         let mut stream = UnixStream::connect(control).expect("the control socket");
-        stream.set_read_timeout(Some(FAR)).expect("a deadline");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a deadline");
         stream.write_all(b"show\n").expect("written");
         let mut answer = String::new();
         BufReader::new(stream).read_line(&mut answer).expect("an answer");
@@ -105,7 +105,7 @@
 
     /// Waits until that version is in force.
     fn reaches(&self, version: &str) {
-        until(&format!("relay {} is at {version}", self.number), || self.version() == version);
+        wait_until(&format!("relay {} is at {version}", self.number), || self.version() == version);
     }
 
     /// Waits until that version is in its file.
@@ -113,7 +113,7 @@
         let number: u64 =
             version.strip_prefix("1.").and_then(|number| number.parse().ok()).expect("a version");
         let kept = || std::fs::read_to_string(self.state("configuration.version")).unwrap_or_default();
-        until(&format!("relay {} keeps {version}", self.number), || {
+        wait_until(&format!("relay {} keeps {version}", self.number), || {
             let kept: Value = serde_json::from_str(&kept()).unwrap_or_default();
             kept["number"] == number
         });
@@ -121,9 +121,9 @@
 
     /// Hands in a message for destination 1.
     fn hand_in(&mut self, id: &str) {
-        let request = handed_in("status-update", id, 1, 3000, b"x");
+        let request = submit_request("status-update", id, 1, 3000, b"x");
         let address = self.program().addresses[0].clone();
-        let answer = ask(&mut connect(&address), &request).expect("an answer");
+        let answer = send_and_read(&mut connect(&address), &request).expect("an answer");
         assert_eq!(answer.status(), 202);
     }
 }
@@ -218,13 +218,13 @@
     let mut fleet = Fleet::start("configuration-published", 3, base.address);
     // Until there is a version, the list of the file counts.
     fleet.relays[0].hand_in("before");
-    assert_eq!(base.next(), "before");
+    assert_eq!(base.next_message(), "before");
     fleet.control.publish(vec![put(1, new.address)]);
     fleet.all_reach("1.1");
     for relay in &mut fleet.relays {
         let id = format!("after-{}", relay.number);
         relay.hand_in(&id);
-        assert_eq!(new.next(), id);
+        assert_eq!(new.next_message(), id);
     }
     let shown = fleet.relays[0].shown();
     assert_eq!(shown["digest"], fleet.control.set.digest().to_string());
@@ -238,13 +238,13 @@
 
     fleet.control.publish_signed_by(vec![put(1, forged.address)], &foreign_key());
     for relay in &mut fleet.relays {
-        until("it refuses the forged change", || relay.shown()["refused"]["forged"].as_u64() > Some(0));
+        wait_until("it refuses the forged change", || relay.shown()["refused"]["forged"].as_u64() > Some(0));
         assert_eq!(relay.version(), "1.1");
         let id = format!("forged-{}", relay.number);
         relay.hand_in(&id);
-        assert_eq!(new.next(), id);
+        assert_eq!(new.next_message(), id);
     }
-    assert!(base.heard.try_recv().is_err() && forged.heard.try_recv().is_err());
+    assert!(base.messages.try_recv().is_err() && forged.messages.try_recv().is_err());
 }
 
 #[test]
@@ -258,13 +258,13 @@
     fleet.relays[1].program().signal("-STOP");
     fleet.relays[2].forwarder.cut(true);
     // With nobody to ask, the relay that was killed goes by its file.
-    fleet.control.answer(false);
+    fleet.control.set_answering(false);
     fleet.relays[0].start();
     assert_eq!(fleet.relays[0].version(), "1.1");
     fleet.relays[0].hand_in("kept");
-    assert_eq!(first.next(), "kept");
+    assert_eq!(first.next_message(), "kept");
 
-    fleet.control.answer(true);
+    fleet.control.set_answering(true);
     fleet.control.publish(vec![put(2, first.address)]);
     let removal =
         Operation::RemoveEndpoint { destination: DestinationId(1), endpoint_id: first.address.to_string() };
@@ -279,9 +279,9 @@
         assert_eq!(relay.shown()["digest"], fleet.control.set.digest().to_string());
         let id = format!("after-{}", relay.number);
         relay.hand_in(&id);
-        assert_eq!(last.next(), id);
+        assert_eq!(last.next_message(), id);
     }
-    assert!(base.heard.try_recv().is_err() && first.heard.try_recv().is_err());
+    assert!(base.messages.try_recv().is_err() && first.messages.try_recv().is_err());
 }
 
 #[test]
@@ -300,7 +300,7 @@
     );
     let file = relay.file().display().to_string();
     let launch = || {
-        let mut program = Program::inherit_with(&clients, &["run", "--config", &file], &[]);
+        let mut program = Program::start_with_listener_and_args(&clients, &["run", "--config", &file], &[]);
         program.wait_ready(1);
         program
     };
@@ -308,17 +308,17 @@
     control.publish(vec![put(1, first.address)]);
     relay.reaches("1.1");
     relay.program = Some(launch());
-    assert!(old.ended_well(), "with nothing left it goes by itself");
+    assert!(old.wait_success(), "with nothing left it goes by itself");
     // The new one may not have the file of this version, but has its endpoints.
     relay.hand_in("handed-over");
-    assert_eq!(first.next(), "handed-over");
+    assert_eq!(first.next_message(), "handed-over");
     let removal =
         Operation::RemoveEndpoint { destination: DestinationId(1), endpoint_id: first.address.to_string() };
     control.publish(vec![put(1, last.address), removal]);
     relay.reaches("1.2");
     relay.hand_in("after");
-    assert_eq!(last.next(), "after");
-    assert!(base.heard.try_recv().is_err() && first.heard.try_recv().is_err());
+    assert_eq!(last.next_message(), "after");
+    assert!(base.messages.try_recv().is_err() && first.messages.try_recv().is_err());
 }
 
 #[test]
@@ -333,8 +333,8 @@
     assert_ne!(text, more);
     write(&relay.file(), more.as_bytes());
     relay.program().signal("-HUP");
-    relay.program().logged("needs a restart: configuration");
-    relay.program().logged("another number of relays needs a restart");
+    relay.program().wait_for_log("needs a restart: configuration");
+    relay.program().wait_for_log("another number of relays needs a restart");
     control.publish(vec![put(1, partner.address)]);
     relay.reaches("1.1");
 }
@@ -357,11 +357,11 @@
     let size: usize = persist::encode(&control.set).map(|piece| piece.len()).sum();
     assert!(size > room, "{size} bytes are too few for this test");
     relay.reaches("1.30");
-    relay.program().logged("which is all that limits.disk_mb leaves for it");
+    relay.program().wait_for_log("which is all that limits.disk_mb leaves for it");
     let bytes = |name: &str| std::fs::metadata(relay.state(name)).map_or(0, |file| file.len() as usize);
     assert!(bytes("configuration.set") <= room && bytes("configuration.set.unfinished") <= room);
     relay.hand_in("delivered");
-    assert_eq!(partner.next(), "delivered");
+    assert_eq!(partner.next_message(), "delivered");
 }
 
 /// A file of a set, as a relay writes it.
@@ -416,12 +416,12 @@
         relay.kill();
         write(&file, &bytes);
         // Its warning comes before it is ready.
-        relay.program = Some(Program::launched(&["run", "--config", &relay.file().display().to_string()]));
-        relay.program().logged(reason);
+        relay.program = Some(Program::spawn(&["run", "--config", &relay.file().display().to_string()]));
+        relay.program().wait_for_log(reason);
         relay.program().wait_ready(0);
         relay.reaches("1.2");
         relay.keeps("1.2");
-        until("the file is written anew", || std::fs::read(&file).expect("a file") == sound);
+        wait_until("the file is written anew", || std::fs::read(&file).expect("a file") == sound);
     }
     relay.kill();
     relay.start();
@@ -455,13 +455,14 @@
     control.publish(vec![put(1, endpoint)]);
     let kept = state.join("configuration.version");
     let waited = tokio::task::spawn_blocking(move || {
-        until("both are in force", || {
+        wait_until("both are in force", || {
             std::fs::read_to_string(&kept).is_ok_and(|text| text.contains("\"number\":2"))
         });
     });
     waited.await.expect("both are in force");
     assert!(matches!(received.recv().await, Some(Input::Withdrawn(_))));
-    let listed = tokio::time::timeout(FAR, received.recv()).await.expect("the changes, once there is room");
+    let listed =
+        tokio::time::timeout(TEST_TIMEOUT, received.recv()).await.expect("the changes, once there is room");
     let Some(Input::Listed(ListForm::Changes, members)) = listed else { panic!("no list") };
     let told: Vec<(&str, Listed)> =
         members.iter().map(|member| (member.id.as_str(), member.entry.listed())).collect();
--- a/tests/control/main.rs
+++ b/tests/control/main.rs
@@ -82,7 +82,8 @@
     operate_by_commands(&cluster, &relays, (&second, &last));
     // Else each message came once, to the endpoint in force then. The one that a relay was killed with may come again, as its
     // class allows: the relay goes on with the version that it kept.
-    let more = [&listed, &first, &second, &last].map(|partner| partner.heard.try_iter().collect::<Vec<_>>());
+    let more =
+        [&listed, &first, &second, &last].map(|partner| partner.messages.try_iter().collect::<Vec<_>>());
     let again = more.concat();
     assert!(again.is_empty() || (again == more[1] && again == ["rolled-back-2"]), "{more:?}");
     println!("the whole took {:?}", started.elapsed());
--- a/tests/control/relays.rs
+++ b/tests/control/relays.rs
@@ -11,7 +11,7 @@
 
 use crate::cluster::{Cluster, RELAYS};
 use crate::stand::partner::Partner;
-use crate::stand::{FAR, Program, ask, connect, handed_in};
+use crate::stand::{Program, TEST_TIMEOUT, connect, send_and_read, submit_request};
 
 /// From one look at the relays to the next.
 const LOOK: Duration = Duration::from_millis(5);
@@ -88,10 +88,10 @@
         for number in self.running() {
             let id = format!("{what}-{number}");
             let program = self.programs[number].as_ref().expect("it runs");
-            let request = handed_in("status-update", &id, 1, 3000, b"x");
-            let answer = ask(&mut connect(&program.addresses[0]), &request).expect("an answer");
+            let request = submit_request("status-update", &id, 1, 3000, b"x");
+            let answer = send_and_read(&mut connect(&program.addresses[0]), &request).expect("an answer");
             assert_eq!(answer.status(), 202);
-            assert_eq!(partner.next(), id);
+            assert_eq!(partner.next_message(), id);
         }
     }
 
@@ -121,7 +121,7 @@
     fn shown(&self, number: usize) -> Value {
         let mut stream =
             UnixStream::connect(self.folder.join(format!("n{number}.control"))).expect("the control socket");
-        stream.set_read_timeout(Some(FAR)).expect("a deadline");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a deadline");
         stream.write_all(b"show\n").expect("written");
         let mut answer = String::new();
         BufReader::new(stream).read_line(&mut answer).expect("an answer");
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -13,7 +13,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot, watch};
 
-use stand::FAR;
+use stand::TEST_TIMEOUT;
 use tulipfall::config::Config;
 use tulipfall::exchange::{Answer, CallEnd, Clock, Exchange, OutboundCall};
 use tulipfall::input::Input;
@@ -32,7 +32,7 @@
 const LANE: usize = 3;
 
 async fn soon<T>(what: impl Future<Output = T>) -> T {
-    tokio::time::timeout(FAR, what).await.expect("within the far deadline")
+    tokio::time::timeout(TEST_TIMEOUT, what).await.expect("within the far deadline")
 }
 
 /// An endpoint whose connections come up only once those before them were accepted: its queue holds one.
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,5 +1,5 @@
-//! A fleet and its discovery: the calls of all relays together, counted in simulated time; and what one does where its
-//! agent falls silent, refuses, breaks off or moves, over loopback sockets.
+//! Discovery. Counts the requests of a whole fleet in simulated time, and tests over loopback sockets how one relay reacts to an agent
+//! that falls silent, refuses, breaks the connection or moves.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,93 +13,94 @@
 use tulipfall::interface::Micros;
 use tulipfall::net::discovery::{Backoff, LOCAL_WATCH_WAIT, WATCH_WAIT, max_pause, watch_list};
 
-/// No step of a test takes so long.
-const FAR: Duration = Duration::from_secs(30);
+/// Timeout of each step of a test, far longer than any step takes.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
-/// After a call that was turned away at once.
-const LONGEST: Micros = 4 * S + 500 * MS;
+/// Maximum pause after a request that was refused at once, in microseconds.
+const MAX_PAUSE: Micros = 4 * S + 500 * MS;
 
-/// Discovery that works through calls one by one and turns away what comes behind a full queue, which is work too.
+/// A discovery service that processes requests one by one and refuses them when its queue is full. A refusal takes time too.
 struct Discovery {
     busy_until: Micros,
 }
 
 impl Discovery {
-    /// When the call is answered, and whether with a list.
-    fn call(&mut self, now: Micros) -> (Micros, bool) {
+    /// Returns when the request is answered, and whether with a list.
+    fn request(&mut self, now: Micros) -> (Micros, bool) {
         let from = self.busy_until.max(now);
-        let taken = from - now < S;
-        self.busy_until = from + if taken { 40 * MS } else { 8 * MS };
-        (if taken { self.busy_until } else { now + 50 * MS }, taken)
+        let accepted = from - now < S;
+        self.busy_until = from + if accepted { 40 * MS } else { 8 * MS };
+        (if accepted { self.busy_until } else { now + 50 * MS }, accepted)
     }
 }
 
-/// All relays of a fleet ask until they are answered: how many calls that took in `within`, and how many have a list.
-fn asked(relays: u32, within: Micros) -> (usize, usize) {
+/// Lets all relays of a fleet request the list until they have it. Returns the number of requests in `duration`, and the number of
+/// relays with a list.
+fn count_requests(relays: u32, duration: Micros) -> (usize, usize) {
     let mut discovery = Discovery { busy_until: 0 };
     let mut pauses: Vec<Backoff> = (0..relays).map(|n| Backoff::new(relays, u64::from(n) * 77, S)).collect();
     let mut next: Vec<(Micros, usize)> =
         pauses.iter().enumerate().map(|(n, p)| (p.initial_delay(), n)).collect();
-    let (mut calls, mut lists) = (0, 0);
+    let (mut requests, mut lists) = (0, 0);
     while let Some(i) = (0..next.len()).min_by_key(|i| next[*i]) {
         let (now, relay) = next.swap_remove(i);
-        if now > within {
+        if now > duration {
             break;
         }
-        calls += 1;
-        match discovery.call(now) {
+        requests += 1;
+        match discovery.request(now) {
             (_, true) => lists += 1,
-            (at, false) => next.push((at + pauses[relay].next_pause(LONGEST), relay)),
+            (at, false) => next.push((at + pauses[relay].next_pause(MAX_PAUSE), relay)),
         }
     }
-    (calls, lists)
+    (requests, lists)
 }
 
 #[test]
-fn a_fleet_that_starts_together_does_not_keep_discovery_from_answering() {
-    let (calls, lists) = asked(100, 20 * S);
+fn a_simultaneous_start_of_a_fleet_does_not_overload_discovery() {
+    let (requests, lists) = count_requests(100, 20 * S);
     assert_eq!(lists, 100, "each relay has its list after 20 s");
-    assert!(calls <= 400, "{calls} calls for 100 lists");
+    assert!(requests <= 400, "{requests} requests for 100 lists");
 }
 
 #[test]
-fn three_hundred_that_pause_no_longer_than_news_may_take_are_all_answered_in_the_end() {
-    let (calls, lists) = asked(300, 60 * S);
+fn three_hundred_relays_with_bounded_pauses_all_get_the_list() {
+    let (requests, lists) = count_requests(300, 60 * S);
     assert_eq!(lists, 300, "each relay has its list after 60 s");
-    assert!(calls <= 2400, "{calls} calls for 300 lists");
+    assert!(requests <= 2400, "{requests} requests for 300 lists");
 }
 
 #[test]
-fn a_few_relays_ask_again_as_soon_as_before() {
+fn relays_of_a_small_fleet_retry_soon() {
     for seed in 0..50 {
         let mut pauses = Backoff::new(2, seed, S);
         assert!(pauses.initial_delay() <= 20 * MS);
-        assert!((20 * MS..=60 * MS).contains(&pauses.next_pause(LONGEST)));
-        let longest = (0..20).map(|_| pauses.next_pause(LONGEST)).max();
-        assert!(longest <= Some(S), "and never far apart: {longest:?}");
+        assert!((20 * MS..=60 * MS).contains(&pauses.next_pause(MAX_PAUSE)));
+        let longest = (0..20).map(|_| pauses.next_pause(MAX_PAUSE)).max();
+        assert!(longest <= Some(S), "pauses stay short: {longest:?}");
         pauses.reset();
-        assert!(pauses.next_pause(LONGEST) <= 60 * MS, "an answer starts anew");
+        assert!(pauses.next_pause(MAX_PAUSE) <= 60 * MS, "an answer resets the pauses");
     }
 }
 
 #[test]
-fn however_many_relays_there_are_each_asks_well_within_the_grace_of_a_drain() {
+fn the_first_request_is_within_half_the_drain_grace_for_any_fleet_size() {
     for relays in [2, 100, 300, 10_000] {
         let latest = (0..1000).map(|seed| Backoff::new(relays, seed * 77, S).initial_delay()).max();
-        assert!(latest <= Some(S / 2), "{relays} relays: the last asks after {latest:?} us");
+        assert!(latest <= Some(S / 2), "{relays} relays: the last request after {latest:?} us");
     }
 }
 
 #[test]
-fn however_many_relays_there_are_no_pause_is_longer_than_news_may_take_and_all_are_spread() {
+fn pauses_are_bounded_and_spread_for_any_fleet_size() {
     for relays in [1, 2, 100, 300, 10_000] {
         let mut pauses: Vec<Backoff> = (0..300).map(|n| Backoff::new(relays, n * 77, S)).collect();
         for _ in 0..12 {
-            let of_all: Vec<Micros> = pauses.iter_mut().map(|pause| pause.next_pause(LONGEST)).collect();
+            let of_all: Vec<Micros> = pauses.iter_mut().map(|pause| pause.next_pause(MAX_PAUSE)).collect();
             let (least, most) = (of_all.iter().min(), of_all.iter().max());
-            assert!(most <= Some(&LONGEST), "{relays} relays: {most:?}");
+            assert!(most <= Some(&MAX_PAUSE), "{relays} relays: {most:?}");
             assert!(
                 least.map(|least| least * 2) < most.copied(),
                 "{relays} relays in step: {least:?} to {most:?}"
@@ -109,22 +110,22 @@
 }
 
 #[test]
-fn the_next_call_is_answered_before_what_changed_counts_as_told() {
-    // An answer takes a second at the most, and half a second is left to act on it.
-    for (name, wait, took, silent, told) in [
+fn the_next_request_is_answered_before_changes_are_deemed_known() {
+    // An answer takes at most a second, and half a second remains to apply it.
+    for (name, wait, took, silent, known_at) in [
         ("refused at once", 0, 50 * MS, false, 6 * S + 50 * MS),
-        ("a watch that broke off", 20 * S, 7 * S, false, 13 * S),
+        ("a broken watch", 20 * S, 7 * S, false, 13 * S),
         ("a silent list", 0, S, true, 6 * S),
         ("a silent watch", LOCAL_WATCH_WAIT, LOCAL_WATCH_WAIT + S, true, 6 * S),
         ("a silent watch that waits long", WATCH_WAIT, WATCH_WAIT + S, true, 22 * S),
     ] {
         let pause = max_pause(took, 0, wait, silent);
-        assert!(pause >= 0 && (pause == 0 || took + pause + S + 500 * MS <= told), "{name}: {pause}");
-        assert!(took + pause < told, "{name}: the next call begins before then");
+        assert!(pause >= 0 && (pause == 0 || took + pause + S + 500 * MS <= known_at), "{name}: {pause}");
+        assert!(took + pause < known_at, "{name}: the next request begins before then");
     }
 }
 
-/// An agent that does what it is told: the calls that reach it, each with its connection.
+/// A scripted agent, whose requests the test accepts and answers.
 struct Agent {
     listener: tokio::net::TcpListener,
     address: watch::Sender<Option<Arc<str>>>,
@@ -133,31 +134,32 @@
 }
 
 impl Agent {
-    async fn followed(relays: u32) -> Self {
+    async fn start(relays: u32) -> Self {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a socket");
         let at: Arc<str> = listener.local_addr().expect("an address").to_string().into();
-        let (address, asked) = watch::channel(Some(at));
+        let (address, addresses) = watch::channel(Some(at));
         let (to, inputs) = mpsc::channel(16);
         let clock = Clock::start();
         let pauses = (Backoff::new(relays, 5, S).resuming(), LOCAL_WATCH_WAIT);
-        tokio::spawn(watch_list(clock, asked, Arc::new(41.into()), pauses, to));
+        tokio::spawn(watch_list(clock, addresses, Arc::new(41.into()), pauses, to));
         Agent { listener, address, inputs, clock }
     }
 
-    async fn call(&self) -> (String, TcpStream, Micros) {
-        let accepted = tokio::time::timeout(FAR, self.listener.accept()).await.expect("a call in time");
+    async fn accept(&self) -> (String, TcpStream, Micros) {
+        let accepted =
+            tokio::time::timeout(TEST_TIMEOUT, self.listener.accept()).await.expect("a request in time");
         let mut stream = accepted.expect("a connection").0;
-        let line = request(&mut stream).await;
+        let line = read_request(&mut stream).await;
         (line, stream, self.clock.now())
     }
 }
 
-/// The first line of the next request.
-async fn request(stream: &mut TcpStream) -> String {
+/// Reads the next request. Returns its request line.
+async fn read_request(stream: &mut TcpStream) -> String {
     let mut text = Vec::new();
     while !text.ends_with(b"\r\n\r\n") {
-        let read = tokio::time::timeout(FAR, stream.read_buf(&mut text)).await.expect("in time");
-        assert!(read.expect("bytes") > 0, "a whole request");
+        let read = tokio::time::timeout(TEST_TIMEOUT, stream.read_buf(&mut text)).await.expect("in time");
+        assert!(read.expect("bytes") > 0, "a complete request");
     }
     String::from_utf8_lossy(&text).lines().next().unwrap_or_default().to_string()
 }
@@ -170,25 +172,27 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-const WATCHED: &str = "GET /registry/instances?index=41&wait=4000 HTTP/1.1";
-const ASKED: &str = "GET /registry/instances?index=41&wait=0 HTTP/1.1";
+/// Request line of a watch.
+const WATCH_REQUEST: &str = "GET /registry/instances?index=41&wait=4000 HTTP/1.1";
+/// Request line of a request without a wait.
+const IMMEDIATE_REQUEST: &str = "GET /registry/instances?index=41&wait=0 HTTP/1.1";
 
 #[tokio::test]
-async fn a_watch_that_falls_silent_is_opened_anew_before_what_it_missed_counts_as_told() {
-    let mut agent = Agent::followed(1).await;
-    let (line, _silent, began) = agent.call().await;
-    assert_eq!(line, WATCHED);
-    let (line, mut stream, at) = agent.call().await;
-    assert_eq!(line, ASKED, "what was missed is asked for");
+async fn a_silent_watch_is_replaced_before_missed_changes_are_deemed_known() {
+    let mut agent = Agent::start(1).await;
+    let (line, _silent, began) = agent.accept().await;
+    assert_eq!(line, WATCH_REQUEST);
+    let (line, mut stream, at) = agent.accept().await;
+    assert_eq!(line, IMMEDIATE_REQUEST, "missed changes are requested");
     assert!(at - began < 6 * S, "after {} us", at - began);
     stream.write_all(&list(42, "Terminating")).await.expect("written");
     assert!(matches!(agent.inputs.recv().await, Some(Input::Listed(..))));
     assert!(agent.clock.now() - began < 6 * S);
-    assert!(request(&mut stream).await.contains("index=42&wait=4000"));
+    assert!(read_request(&mut stream).await.contains("index=42&wait=4000"));
 }
 
 #[tokio::test]
-async fn a_call_refused_reset_or_spoilt_is_followed_by_one_that_does_not_wait_then_by_a_watch() {
+async fn after_failed_requests_the_list_is_requested_without_a_wait_then_watched() {
     let cut = list(42, "Ready");
     let answers: [&[u8]; 5] = [
         b"HTTP/1.1 503 Later\r\nContent-Length: 0\r\n\r\n",
@@ -197,43 +201,43 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"half\": ",
         b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n",
     ];
-    let mut agent = Agent::followed(1).await;
-    let mut expected = WATCHED;
+    let mut agent = Agent::start(1).await;
+    let mut expected = WATCH_REQUEST;
     for answer in answers {
-        let (line, mut stream, _) = agent.call().await;
+        let (line, mut stream, _) = agent.accept().await;
         assert_eq!(line, expected);
         stream.write_all(answer).await.expect("written");
-        expected = ASKED;
+        expected = IMMEDIATE_REQUEST;
     }
-    let (line, mut stream, _) = agent.call().await;
-    assert_eq!(line, ASKED);
+    let (line, mut stream, _) = agent.accept().await;
+    assert_eq!(line, IMMEDIATE_REQUEST);
     stream.write_all(&list(42, "Ready")).await.expect("written");
     let Some(Input::Listed(_, members)) = agent.inputs.recv().await else { panic!("a list") };
-    assert_eq!(members.len(), 1, "indented, with fields that nobody knows");
-    assert!(request(&mut stream).await.contains("index=42&wait=4000"));
+    assert_eq!(members.len(), 1, "indented, with unknown fields");
+    assert!(read_request(&mut stream).await.contains("index=42&wait=4000"));
 }
 
 #[tokio::test]
-async fn a_new_address_during_a_watch_is_asked_for_the_whole_list_at_once() {
-    let mut agent = Agent::followed(300).await;
-    let (line, _silent, _) = agent.call().await;
-    assert_eq!(line, WATCHED);
+async fn after_a_move_the_complete_list_is_requested_from_the_new_address() {
+    let mut agent = Agent::start(300).await;
+    let (line, _silent, _) = agent.accept().await;
+    assert_eq!(line, WATCH_REQUEST);
     let moved = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a socket");
     agent.address.send_replace(Some(moved.local_addr().expect("an address").to_string().into()));
     agent.listener = moved;
-    let (line, ..) = agent.call().await;
+    let (line, ..) = agent.accept().await;
     assert_eq!(line, "GET /registry/instances HTTP/1.1");
 }
 
 #[tokio::test]
-async fn an_agent_that_answers_with_nothing_at_once_is_not_asked_in_a_spin() {
-    let agent = Agent::followed(1).await;
-    let (_, mut stream, began) = agent.call().await;
+async fn immediate_empty_answers_do_not_cause_a_busy_loop() {
+    let agent = Agent::start(1).await;
+    let (_, mut stream, began) = agent.accept().await;
     let empty = br#"{"revision":41,"complete":false,"members":[]}"#;
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", empty.len());
     for _ in 0..5 {
         stream.write_all(&[head.as_bytes(), empty].concat()).await.expect("written");
-        request(&mut stream).await;
+        read_request(&mut stream).await;
     }
     assert!(agent.clock.now() - began >= 100 * MS, "five answers in {} us", agent.clock.now() - began);
 }
--- a/tests/ended.rs
+++ b/tests/ended.rs
@@ -49,8 +49,8 @@
         let class = if n % 2 == 0 { "status-update" } else { "paid-extra" };
         let id = format!("{number}-{n}");
         let destination = (number + n / 2) % destinations;
-        let request = handed_in(class, &id, destination as i64, TIME_LEFT_MS, id.as_bytes());
-        match ask(&mut stream, &request) {
+        let request = submit_request(class, &id, destination as i64, TIME_LEFT_MS, id.as_bytes());
+        match send_and_read(&mut stream, &request) {
             Some(answer) if answer.status() == 202 => {
                 let due = now + Duration::from_millis(TIME_LEFT_MS);
                 accepted.lock().expect("no panic").insert(id, due);
@@ -64,11 +64,11 @@
 
 /// A connection to a relay that may be down for a moment.
 fn reconnect(address: &str) -> TcpStream {
-    let by = Instant::now() + FAR;
+    let by = Instant::now() + TEST_TIMEOUT;
     loop {
         match TcpStream::connect(address) {
             Ok(stream) => {
-                stream.set_read_timeout(Some(FAR)).expect("a deadline");
+                stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a deadline");
                 return stream;
             }
             Err(error) => assert!(Instant::now() < by, "no relay: {error}"),
@@ -155,7 +155,7 @@
         let began = Instant::now();
         if self == Relay::Terminated {
             program.signal("-TERM");
-            while program.runs() && began.elapsed() < KILLED_AFTER {
+            while program.is_running() && began.elapsed() < KILLED_AFTER {
                 std::thread::sleep(Duration::from_millis(5));
             }
         }
--- a/tests/ended/endpoints.rs
+++ b/tests/ended/endpoints.rs
@@ -10,7 +10,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::stand::hear;
+use crate::stand::read_http;
 
 /// Time that an endpoint takes to serve a call, in milliseconds.
 const WORK_MS: Range<u64> = 10..60;
@@ -158,7 +158,7 @@
 
 fn serve(mut stream: TcpStream, plan: &Plan, mut rng: SmallRng, seen: &Shared) {
     let _ = stream.set_nodelay(true);
-    while let Some(request) = hear(&mut stream) {
+    while let Some(request) = read_http(&mut stream) {
         let id = request.header("X-Correlation-Id").unwrap_or_default().to_string();
         let (first, called) = (note(seen, &id), Instant::now());
         std::thread::sleep(Duration::from_millis(rng.random_range(WORK_MS)));
@@ -259,7 +259,7 @@
         for mut stream in listener.incoming().flatten() {
             let seen = seen.clone();
             std::thread::spawn(move || {
-                while let Some(request) = hear(&mut stream) {
+                while let Some(request) = read_http(&mut stream) {
                     let answer = if request.head.starts_with("POST /reports ") {
                         take_reports(&seen, &request.body);
                         "HTTP/1.1 204 No Content\r\n\r\n".to_string()
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use faults::{Child, Scenario};
-use stand::site::{configuration, order};
+use stand::site::{admin_request, configuration};
 use stand::*;
 
 /// A start is ready within this, once nothing fails any more.
@@ -41,7 +41,7 @@
             for mut stream in listener.incoming().flatten() {
                 let (heard, shut) = (heard.clone(), shut.clone());
                 std::thread::spawn(move || {
-                    while let Some(call) = hear(&mut stream) {
+                    while let Some(call) = read_http(&mut stream) {
                         if shut.load(Ordering::Relaxed) {
                             let busy = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
                             if stream.write_all(busy.as_bytes()).is_err() {
@@ -102,7 +102,7 @@
         let file = file.display().to_string();
         let mut environment: Vec<(&str, &str)> = faults.iter().map(|(key, value)| (*key, &**value)).collect();
         environment.extend([("PROXY_CONFIG", &*file), ("PROXY_STATE", &*state)]);
-        Program::launched_with(&environment)
+        Program::spawn_with_env(&environment)
     }
 
     fn start(&self, scenario: &str, seed: u64) -> Program {
@@ -144,11 +144,11 @@
                         std::thread::sleep(Duration::from_millis(20));
                         continue;
                     };
-                    stream.set_read_timeout(Some(FAR)).expect("a deadline");
+                    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a deadline");
                     let class = if n % 2 == 0 { "status-update" } else { "paid-extra" };
                     let body = id.repeat(40);
-                    let request = handed_in(class, &id, 0, TIME_LEFT_MS, body.as_bytes());
-                    let answer = ask(&mut stream, &request).map(|answer| answer.status());
+                    let request = submit_request(class, &id, 0, TIME_LEFT_MS, body.as_bytes());
+                    let answer = send_and_read(&mut stream, &request).map(|answer| answer.status());
                     let mut seen = seen.lock().expect("no panic");
                     match answer {
                         Some(202) => drop(seen.accepted.insert(id, Instant::now())),
@@ -277,7 +277,7 @@
     program.wait_ready(1);
     std::thread::sleep(Duration::from_millis(700));
     program.signal("-HUP");
-    program.logged("configuration read again");
+    program.wait_for_log("configuration read again");
     assert!(relay.faults_made() > 0, "no fault was made");
     let seen = clients(&relay, "r", 1, Duration::from_millis(100));
     assert!(!seen.accepted.is_empty() && seen.unanswered.is_empty());
@@ -291,7 +291,7 @@
 
 /// Starts a relay on a folder that cannot be used; what it said last.
 fn refuses(relay: &Relay, faults: &str) -> String {
-    let (code, log) = relay.launch(faults, 1).ended();
+    let (code, log) = relay.launch(faults, 1).wait_exit();
     assert_eq!(code, Some(1), "{log:?}");
     log.last().cloned().unwrap_or_default()
 }
@@ -343,7 +343,7 @@
     let mut program = relay.start(faults, seed);
     let seen = clients(&relay, "d", 8, Duration::from_millis(2500));
     assert!(relay.faults_made() > 0, "no fault was made");
-    assert!(program.runs(), "the process ended");
+    assert!(program.is_running(), "the process ended");
     assert_eq!(seen.unanswered, Vec::<String>::new());
     all_delivered(&endpoint, &seen);
     let last = clients(&relay, "e", 2, Duration::from_millis(150));
@@ -393,7 +393,7 @@
     let torn = "[[fault]]\ncall = \"send\"\neffect = \"torn\"\nerror = \"EPIPE\"\nprobability = 1.0\nfrom_ms = 0\nto_ms = 2000\n";
     let _program = relay.start(torn, 1);
     let mut stream = connect(&relay.address);
-    stream.write_all(&handed_in("status-update", "half", 0, 8_000, b"body")).expect("written");
+    stream.write_all(&submit_request("status-update", "half", 0, 8_000, b"body")).expect("written");
     let mut answer = Vec::new();
     let _ = stream.read_to_end(&mut answer);
     assert!(answer.starts_with(b"HTTP/1.1 202"), "{:?}", String::from_utf8_lossy(&answer));
@@ -432,12 +432,12 @@
     program.kill();
     let program = relay.start(&format!("[[step]]\nat_ms = 0\nby_ms = {step_ms}\n"), 1);
     std::thread::sleep(Duration::from_millis(300));
-    let (_, status) = order(&program.door, "GET", "/status");
+    let (_, status) = admin_request(&program.admin_address, "GET", "/status");
     assert_eq!(status["held"], seen.accepted.len(), "all still have time");
     let last = seen.accepted.values().max().expect("one was accepted");
     let until = *last + Duration::from_millis(TIME_LEFT_MS) + SLACK;
     std::thread::sleep(until.saturating_duration_since(Instant::now()));
-    let (_, status) = order(&program.door, "GET", "/status");
+    let (_, status) = admin_request(&program.admin_address, "GET", "/status");
     assert_eq!(status["held"], 0, "none has time left");
 }
 
--- a/tests/idempotency.rs
+++ b/tests/idempotency.rs
@@ -39,9 +39,9 @@
     }
 
     /// The next call, on whichever connection: an earlier one is read until it ends.
-    fn call(&self, open: Option<TcpStream>) -> (TcpStream, Heard) {
+    fn call(&self, open: Option<TcpStream>) -> (TcpStream, HttpMessage) {
         let mut stream = open.unwrap_or_else(|| accept(&self.endpoint));
-        match hear(&mut stream) {
+        match read_http(&mut stream) {
             Some(heard) => (stream, heard),
             None => self.call(None),
         }
@@ -50,7 +50,7 @@
 
 /// A message with headers of its own beside the usual ones.
 fn hand(class: &str, id: &str, headers: &str) -> Vec<u8> {
-    let bytes = handed_in(class, id, 0, 12_000, BODY);
+    let bytes = submit_request(class, id, 0, 12_000, BODY);
     let text = b"X-Account: desk\r\n";
     let at = bytes.windows(text.len()).position(|window| window == text).expect("the header");
     [&bytes[..at], headers.as_bytes(), &bytes[at..]].concat()
@@ -61,11 +61,11 @@
 }
 
 fn status(program: &Program, bytes: &[u8]) -> (u16, String) {
-    let heard = ask(&mut connect(&program.addresses[0]), bytes).expect("an answer");
+    let heard = send_and_read(&mut connect(&program.addresses[0]), bytes).expect("an answer");
     (heard.status(), String::from_utf8_lossy(&heard.body).into_owned())
 }
 
-fn is_unchanged(call: &Heard, id: &str) {
+fn is_unchanged(call: &HttpMessage, id: &str) {
     assert_eq!(call.header("X-Correlation-Id"), Some(id));
     assert_eq!(call.header("Idempotency-Key"), Some(KEY));
     assert_eq!(call.body, BODY);
@@ -95,7 +95,7 @@
     // It was turned away and has not run. The process dies, and its successor tries again.
     stream.write_all(b"HTTP/1.1 429 Full\r\nRetry-After: 9\r\nContent-Length: 0\r\n\r\n").expect("written");
     // Its outcome is in the journal once it was logged and a later message is answered.
-    relay.logged("attempt ended");
+    relay.wait_for_log("attempt ended");
     assert_eq!(status(&relay, &hand("paid-extra", "after", "")).0, 202);
     relay.kill();
     drop(stream);
--- a/tests/link.rs
+++ b/tests/link.rs
@@ -26,13 +26,13 @@
     settle: 0,
 };
 /// Far beyond what any of this takes.
-const FAR: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Permits for a destination until so many have come.
 async fn permits(inputs: &mut mpsc::Receiver<Input>, destination: i64, wanted: u16) -> u16 {
     let mut have = 0;
     while have < wanted {
-        let input = tokio::time::timeout(FAR, inputs.recv()).await.expect("a steward answers");
+        let input = tokio::time::timeout(TEST_TIMEOUT, inputs.recv()).await.expect("a steward answers");
         if let Some(Input::Permitted(given)) = input
             && given.destination == destination
         {
@@ -143,7 +143,7 @@
     second.tell.send(ToFleet::Want(5, vec![(1000, 1)])).expect("it runs");
     let (mut permitted, mut shut) = (false, false);
     while !(permitted && shut) {
-        match tokio::time::timeout(FAR, second.inputs.recv()).await.expect("both come") {
+        match tokio::time::timeout(TEST_TIMEOUT, second.inputs.recv()).await.expect("both come") {
             Some(Input::Permitted(given)) => permitted |= given.grants > 0,
             Some(Input::Told(hearsay)) => shut |= matches!(hearsay.word, Word::Shut(_)),
             _ => {}
@@ -173,5 +173,5 @@
             }
         }
     };
-    tokio::time::timeout(FAR, permit).await.expect("a permit comes");
+    tokio::time::timeout(TEST_TIMEOUT, permit).await.expect("a permit comes");
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
-use stand::site::{configuration, order};
+use stand::site::{admin_request, configuration};
 use stand::*;
 
 fn start(folder: &Path, configuration: &Value) -> Program {
@@ -21,7 +21,7 @@
 
 fn ready(listen: &str) -> u16 {
     let call = b"GET /health/ready HTTP/1.1\r\nHost: relay\r\n\r\n";
-    ask(&mut connect(listen), call).expect("an answer").status()
+    send_and_read(&mut connect(listen), call).expect("an answer").status()
 }
 
 /// Waits until the other side ends the connection; what it still says.
@@ -37,7 +37,7 @@
     let at = endpoint.local_addr().expect("an address").to_string();
     let program = start(&folder("ops-door"), &configuration(&[at]));
     // Half calls that would keep every place, and more of them than there are places.
-    let mut half: Vec<TcpStream> = (0..100).map(|_| connect(&program.door)).collect();
+    let mut half: Vec<TcpStream> = (0..100).map(|_| connect(&program.admin_address)).collect();
     for stream in &mut half {
         let _ = stream.write_all(b"GET /status HTTP/1.1\r\nHo");
     }
@@ -52,7 +52,7 @@
                 return n;
             }
             let Ok(mut stream) = TcpStream::connect(&listen) else { continue };
-            let _ = stream.write_all(&handed_in("status-update", &format!("f{n}"), 0, 900, b"x"));
+            let _ = stream.write_all(&submit_request("status-update", &format!("f{n}"), 0, 900, b"x"));
             let _ = begin.send(());
         }
         0
@@ -60,20 +60,22 @@
     // On a busy machine the door could otherwise have answered everything before the flood has begun.
     begun.recv_timeout(Duration::from_secs(20)).expect("the flood begins");
     for _ in 0..20 {
-        let (status, body) = order(&program.door, "GET", "/status");
+        let (status, body) = admin_request(&program.admin_address, "GET", "/status");
         assert_eq!((status, &body["state"], &body["ready"]), (200, &json!("active"), &json!(true)));
         assert!(body["held"].is_u64() && body["out"].is_u64() && body["since"].is_f64(), "{body}");
     }
-    assert_eq!(order(&program.door, "POST", "/standby").0, 200);
-    assert_eq!(order(&program.door, "GET", "/status").0, 503);
-    assert_eq!(order(&program.door, "POST", "/active").0, 200);
-    assert_eq!(order(&program.door, "DELETE", "/status").0, 405);
-    assert_eq!(order(&program.door, "GET", "/elsewhere").0, 404);
+    assert_eq!(admin_request(&program.admin_address, "POST", "/standby").0, 200);
+    assert_eq!(admin_request(&program.admin_address, "GET", "/status").0, 503);
+    assert_eq!(admin_request(&program.admin_address, "POST", "/active").0, 200);
+    assert_eq!(admin_request(&program.admin_address, "DELETE", "/status").0, 405);
+    assert_eq!(admin_request(&program.admin_address, "GET", "/elsewhere").0, 404);
     stop.send(()).expect("the flood runs");
     assert!(flood.join().expect("the flood ends") > 0);
     drop((half, silent));
     // What cannot be read, and what is too large, gets an answer too.
-    let answer = |bytes: &[u8]| ask(&mut connect(&program.door), bytes).expect("an answer").status();
+    let answer = |bytes: &[u8]| {
+        send_and_read(&mut connect(&program.admin_address), bytes).expect("an answer").status()
+    };
     assert_eq!(answer(b"noise\r\n\r\n"), 400);
     assert_eq!(answer(b"POST /standby HTTP/1.1\r\nContent-Length: 99999\r\n\r\n"), 413);
 }
@@ -84,9 +86,9 @@
     let at = endpoint.local_addr().expect("an address").to_string();
     let program = start(&folder("ops-drain"), &configuration(&[at]));
     let listen = program.addresses[0].clone();
-    let hand = |id: &str| handed_in("status-update", id, 0, 9000, b"body");
+    let hand = |id: &str| submit_request("status-update", id, 0, 9000, b"body");
     let mut used = connect(&listen);
-    assert_eq!(ask(&mut used, &hand("m1")).expect("an answer").status(), 202);
+    assert_eq!(send_and_read(&mut used, &hand("m1")).expect("an answer").status(), 202);
     let untouched = connect(&listen);
     let mut half = connect(&listen);
     let bytes = hand("m2");
@@ -94,26 +96,26 @@
     let idle: Vec<TcpStream> = (0..40)
         .map(|n| {
             let mut stream = connect(&listen);
-            assert_eq!(ask(&mut stream, &hand(&format!("i{n}"))).expect("an answer").status(), 202);
+            assert_eq!(send_and_read(&mut stream, &hand(&format!("i{n}"))).expect("an answer").status(), 202);
             stream
         })
         .collect();
     assert_eq!(ready(&listen), 200);
     let began = Instant::now();
-    assert_eq!(order(&program.door, "POST", "/standby").0, 200);
+    assert_eq!(admin_request(&program.admin_address, "POST", "/standby").0, 200);
     assert_eq!(ready(&listen), 503);
     let idle: Vec<_> =
         idle.into_iter().map(|stream| std::thread::spawn(move || (rest(stream), began.elapsed()))).collect();
     // What still comes on kept connections is served, and ends them.
-    let heard = ask(&mut used, &hand("m3")).expect("an answer");
+    let heard = send_and_read(&mut used, &hand("m3")).expect("an answer");
     assert_eq!((heard.status(), heard.header("Connection")), (202, Some("close")));
     assert_eq!(rest(used), b"");
     half.write_all(&bytes[bytes.len() - 3..]).expect("written");
-    let heard = hear(&mut half).expect("an answer");
+    let heard = read_http(&mut half).expect("an answer");
     assert_eq!((heard.status(), heard.header("Connection")), (202, Some("close")));
     // New ones are served too.
     let mut new = connect(&listen);
-    assert_eq!(ask(&mut new, &hand("m4")).expect("an answer").status(), 202);
+    assert_eq!(send_and_read(&mut new, &hand("m4")).expect("an answer").status(), 202);
     assert_eq!(rest(new), b"");
     assert_eq!(rest(untouched), b"");
     let mut ends: Vec<Duration> = idle
@@ -129,16 +131,16 @@
     assert!(ends[39] - ends[0] > Duration::from_millis(500), "spread out: {:?} to {:?}", ends[0], ends[39]);
     // What was taken on is held and delivered as ever.
     let mut call = accept(&endpoint);
-    assert!(hear(&mut call).expect("a call").head.starts_with("POST /v1/messages"));
-    let (status, body) = order(&program.door, "GET", "/status");
+    assert!(read_http(&mut call).expect("a call").head.starts_with("POST /v1/messages"));
+    let (status, body) = admin_request(&program.admin_address, "GET", "/status");
     assert_eq!((status, &body["state"]), (503, &json!("standby")));
     assert!(body["held"].as_u64() > Some(0));
     // Undone: ready at once, and connections are kept again.
-    assert_eq!(order(&program.door, "POST", "/active").0, 200);
+    assert_eq!(admin_request(&program.admin_address, "POST", "/active").0, 200);
     assert_eq!(ready(&listen), 200);
     let mut kept = connect(&listen);
     for id in ["m5", "m6"] {
-        let heard = ask(&mut kept, &hand(id)).expect("an answer");
+        let heard = send_and_read(&mut kept, &hand(id)).expect("an answer");
         assert_eq!((heard.status(), heard.header("Connection")), (202, None));
     }
 }
@@ -147,7 +149,7 @@
 fn reload(program: &Program, folder: &Path, text: &str, logged: &str) {
     std::fs::write(folder.join("config.json"), text).expect("a file");
     program.signal("-HUP");
-    program.logged(logged);
+    program.wait_for_log(logged);
 }
 
 #[test]
@@ -160,8 +162,8 @@
     let mut client = connect(&program.addresses[0]);
     let mut classes = |id: &str| {
         let mut status = |class: &str| {
-            let bytes = handed_in(class, &format!("{class}-{id}"), 0, 2000, b"x");
-            ask(&mut client, &bytes).expect("an answer").status()
+            let bytes = submit_request(class, &format!("{class}-{id}"), 0, 2000, b"x");
+            send_and_read(&mut client, &bytes).expect("an answer").status()
         };
         [status("status-update"), status("paid-extra"), status("newcomer")]
     };
@@ -223,11 +225,11 @@
     let mut program = start(&folder, &old);
     let mut client = connect(&program.addresses[0]);
     let mut hand = |class: &str, id: &str| {
-        ask(&mut client, &handed_in(class, id, 0, 15_000, b"x")).expect("an answer").status()
+        send_and_read(&mut client, &submit_request(class, id, 0, 15_000, b"x")).expect("an answer").status()
     };
     let call = || {
         let mut call = accept(&endpoint);
-        let heard = hear(&mut call).expect("a call");
+        let heard = read_http(&mut call).expect("a call");
         (heard.header("X-Correlation-Id").unwrap_or_default().to_string(), call)
     };
     // A charge is out as its class becomes repeatable, and a repeatable one as its class becomes stricter.
@@ -249,7 +251,7 @@
     drop(calls);
     let program = start(&folder, &gone);
     assert_eq!(call().0, "s1", "it came in as repeatable; the charge and the stricter one may have run");
-    let (_, body) = order(&program.door, "GET", "/status");
+    let (_, body) = admin_request(&program.admin_address, "GET", "/status");
     assert_eq!(body["held"], json!(1), "the others ended at once: {body}");
 }
 
@@ -258,10 +260,10 @@
     let endpoint = TcpListener::bind("127.0.0.1:0").expect("a socket");
     let at = endpoint.local_addr().expect("an address").to_string();
     let mut program = start(&folder("ops-standby-term"), &configuration(&[at]));
-    assert_eq!(order(&program.door, "POST", "/standby").0, 200);
+    assert_eq!(admin_request(&program.admin_address, "POST", "/standby").0, 200);
     program.terminate();
-    assert_eq!(order(&program.door, "POST", "/active").0, 409, "it goes on ending");
-    assert!(program.ended_well());
+    assert_eq!(admin_request(&program.admin_address, "POST", "/active").0, 409, "it goes on ending");
+    assert!(program.wait_success());
 }
 
 #[test]
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -19,7 +19,7 @@
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             std::thread::spawn(move || {
-                while hear(&mut stream).is_some() {
+                while read_http(&mut stream).is_some() {
                     if stream.write_all(b"HTTP/1.1 503 Shut\r\nContent-Length: 0\r\n\r\n").is_err() {
                         return;
                     }
@@ -71,7 +71,7 @@
 fn until(mut holds: impl FnMut() -> bool) {
     let started = Instant::now();
     while !holds() {
-        assert!(started.elapsed() < FAR, "it never holds");
+        assert!(started.elapsed() < TEST_TIMEOUT, "it never holds");
     }
 }
 
@@ -88,8 +88,8 @@
     let mut n = 0;
     until(|| {
         n += 1;
-        let request = handed_in("status-update", &format!("m{n}"), 1, 3000, b"x");
-        ask(&mut connect(&first.addresses[0]), &request).expect("an answer");
+        let request = submit_request("status-update", &format!("m{n}"), 1, 3000, b"x");
+        send_and_read(&mut connect(&first.addresses[0]), &request).expect("an answer");
         knows_trouble(&files[0], 0)
     });
     let mut second = start(&files[1]);
@@ -125,12 +125,12 @@
     let text = std::fs::read_to_string(&file).expect("a file");
     std::fs::write(&file, text.replace("me = 0", "me = 7")).expect("a file");
     first.signal("-HUP");
-    first.logged("the old one stays");
+    first.wait_for_log("the old one stays");
     configuration(&folder, 0, &notes[..2], &endpoint);
     assert_eq!(peers(), Some(1));
     configuration(&folder, 0, &notes, &endpoint);
     first.signal("-HUP");
-    first.logged("configuration read again");
+    first.wait_for_log("configuration read again");
     until(|| peers() == Some(2));
     // The one that came hears of it, and is heard.
     let _third = start(&configuration(&folder, 2, &notes, &endpoint));
@@ -140,5 +140,5 @@
     std::fs::write(&file, text.replace("per_s = 8", "per_s = 9").replace("me = 0", "me = 1"))
         .expect("a file");
     first.signal("-HUP");
-    first.logged("needs a restart: destination, peers");
+    first.wait_for_log("needs a restart: destination, peers");
 }
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -59,15 +59,15 @@
         self.program.as_mut().expect("it runs")
     }
 
-    fn hand(&mut self, class: &str, id: &str) -> Heard {
-        let request = handed_in(class, id, 1, 6000, b"a charge");
-        ask(&mut connect(&self.program().addresses[0]), &request).expect("an answer")
+    fn hand(&mut self, class: &str, id: &str) -> HttpMessage {
+        let request = submit_request(class, id, 1, 6000, b"a charge");
+        send_and_read(&mut connect(&self.program().addresses[0]), &request).expect("an answer")
     }
 
     /// Takes one call and answers it.
-    fn answer(&self, with: &str) -> Heard {
+    fn answer(&self, with: &str) -> HttpMessage {
         let mut call = accept(&self.endpoint);
-        let heard = hear(&mut call).expect("a call");
+        let heard = read_http(&mut call).expect("a call");
         let _ = call.write_all(with.as_bytes());
         heard
     }
@@ -87,7 +87,7 @@
             });
             match rows {
                 Ok(rows) if enough(&rows) => return rows,
-                rows => assert!(started.elapsed() < FAR, "{rows:?}"),
+                rows => assert!(started.elapsed() < TEST_TIMEOUT, "{rows:?}"),
             }
             std::thread::yield_now();
         }
@@ -129,7 +129,7 @@
     scene.start();
     assert_eq!(scene.hand("paid-extra", "charge").status(), 202);
     let mut call = accept(&scene.endpoint);
-    hear(&mut call).expect("a call");
+    read_http(&mut call).expect("a call");
     scene.program().kill();
     let _ = call.write_all(OK.as_bytes());
     scene.start();
@@ -171,7 +171,7 @@
     let started = Instant::now();
     let ended = b"\"outcome\":\"delivered\"";
     while journal(&scene).windows(ended.len()).filter(|window| window == ended).count() < 2 {
-        assert!(started.elapsed() < FAR);
+        assert!(started.elapsed() < TEST_TIMEOUT);
         std::thread::yield_now();
     }
     scene.program().kill();
@@ -181,12 +181,12 @@
     scene.start();
     assert_eq!(scene.rows(|rows| rows.len() == 2), both);
     scene.program().terminate();
-    assert!(scene.program().ended_well());
+    assert!(scene.program().wait_success());
     // What the process would have found, had it died before it noted that the record was told.
     scene.copy("before", "state");
     scene.start();
     scene.program().terminate();
-    assert!(scene.program().ended_well());
+    assert!(scene.program().wait_success());
     assert_eq!(scene.rows(|_| true), both);
 }
 
@@ -256,7 +256,7 @@
     assert!(rows.iter().all(|row| row.1 == "delivered"), "{rows:?}");
     let started = Instant::now();
     while scene.hand("status-update", "again").status() != 202 {
-        assert!(started.elapsed() < FAR, "there is room again");
+        assert!(started.elapsed() < TEST_TIMEOUT, "there is room again");
     }
 }
 
@@ -361,7 +361,7 @@
     std::fs::remove_file(scene.folder.join("state/record-taken-over")).expect("a note");
     scene.start();
     scene.program().terminate();
-    assert!(scene.program().ended_well());
+    assert!(scene.program().wait_success());
     assert_eq!(scene.rows(|_| true), rows);
     assert_eq!(scene.tool(&["record", "verify"]).0, Some(0));
 }
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -1,20 +1,20 @@
-//! Recorded byte exchanges, played against the program: each file under tests/exchanges/ is a script, and what
-//! the program did is compared with its snapshot. A script's lines:
+//! Scripted byte exchanges with the program. Each file under tests/exchanges/ is a script, and the transcript of its run is
+//! compared with a snapshot. The lines of a script:
 //!
-//!     start KEY=VALUE ..      starts the program, with sockets, disk_mb, slots, open_cap or connect_ms as given
-//!     kill | terminate | ends SIGKILL; SIGTERM; waits for its end, which must be a good one
-//!     hangs_up TEXT           replaces the configuration by a faulty text, or by one with options as at a start
-//!                             that names where the agent now is; then SIGHUP
-//!     logged TEXT             waits until the program's log says so
-//!     client N hands ID CLASS DEST LEFT_MS BODY    hands a message in; BODY *N is N bytes
-//!     client N sends TEXT     raw bytes; \r \n \xNN as written
-//!     client N hears          notes the answer
-//!     endpoint N accepts | hears | answers TEXT | closes    a call's connection, in the order accepted
-//!     endpoint N plugs | unplugs    from one to the other no connection comes up there
-//!     agent hears_watch | answers_watch TEXT | drops_watch | hears_notice     discovery and notices
-//!     agent moves             to another address; what was open at the old one stays silent
+//!     start KEY=VALUE ..      starts the program; the keys are sockets, disk_mb, slots, open_cap and connect_ms
+//!     kill | terminate | ends sends SIGKILL; sends SIGTERM; waits for an exit with status 0
+//!     hangs_up TEXT           replaces the configuration by an invalid TEXT, or by one with options as for start and the
+//!                             current address of the agent; then sends SIGHUP
+//!     logged TEXT             waits until the program logs TEXT
+//!     client N hands ID CLASS DEST LEFT_MS BODY    submits a message; a BODY of *N is N bytes
+//!     client N sends TEXT     sends raw bytes, with the escapes \r \n \xNN
+//!     client N hears          records the response
+//!     endpoint N accepts | hears | answers TEXT | closes    handles the last accepted connection of a call
+//!     endpoint N plugs | unplugs    starts | ends a time during which no connection to the endpoint can be established
+//!     agent hears_watch | answers_watch TEXT | drops_watch | hears_notice     handles discovery and non-delivery reports
+//!     agent moves             moves the agent to another address; connections to the old one stay open without answers
 //!
-//! A step that does not come true fails at one far deadline; nothing sleeps.
+//! A step fails after the common timeout; no step sleeps for a fixed time.
 
 mod stand;
 
@@ -25,35 +25,35 @@
 
 use stand::*;
 
-/// The agent: watches and notices come on connections of their own, in any order.
+/// The agent. Watches and non-delivery reports arrive on separate connections, in any order.
 struct Agent {
     address: String,
-    watches: mpsc::Receiver<(Heard, TcpStream)>,
-    notices: mpsc::Receiver<(Heard, TcpStream)>,
+    watches: mpsc::Receiver<(HttpMessage, TcpStream)>,
+    reports: mpsc::Receiver<(HttpMessage, TcpStream)>,
 }
 
 impl Agent {
     fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a socket");
         let address = listener.local_addr().expect("an address").to_string();
-        let ((watch, watches), (notice, notices)) = (mpsc::channel(), mpsc::channel());
+        let ((watch, watches), (report, reports)) = (mpsc::channel(), mpsc::channel());
         std::thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                let (watch, notice) = (watch.clone(), notice.clone());
+                let (watch, report) = (watch.clone(), report.clone());
                 std::thread::spawn(move || {
-                    while let Some(heard) = hear(&mut stream) {
+                    while let Some(request) = read_http(&mut stream) {
                         let Ok(back) = stream.try_clone() else { return };
-                        let to = if heard.head.starts_with("GET") { &watch } else { &notice };
-                        let _ = to.send((heard, back));
+                        let to = if request.head.starts_with("GET") { &watch } else { &report };
+                        let _ = to.send((request, back));
                     }
                 });
             }
         });
-        Agent { address, watches, notices }
+        Agent { address, watches, reports }
     }
 }
 
-struct Play {
+struct Script {
     folder: std::path::PathBuf,
     program: Option<Program>,
     clients: HashMap<String, TcpStream>,
@@ -67,10 +67,11 @@
     transcript: String,
 }
 
-/// Two classes, one tenant, destinations 0 and 1; the figures of the deployment where they matter.
-fn configuration(play: &Play, options: &HashMap<&str, &str>) -> String {
+/// Returns a configuration with two classes, one tenant and destinations 0 and 1, with the figures of the deployment where they
+/// matter.
+fn configuration(script: &Script, options: &HashMap<&str, &str>) -> String {
     let number = |key: &str, default: f64| options.get(key).and_then(|n| n.parse().ok()).unwrap_or(default);
-    let members: Vec<serde_json::Value> = play
+    let members: Vec<serde_json::Value> = script
         .endpoints
         .iter()
         .enumerate()
@@ -102,8 +103,8 @@
     .to_string()
 }
 
-/// What `\r`, `\n` and `\xNN` stand for.
-fn bytes(text: &str) -> Vec<u8> {
+/// Replaces the escapes `\r`, `\n` and `\xNN`.
+fn unescape(text: &str) -> Vec<u8> {
     let mut parts = text.split('\\');
     let mut bytes = parts.next().unwrap_or_default().as_bytes().to_vec();
     for part in parts {
@@ -118,10 +119,10 @@
     bytes
 }
 
-impl Play {
+impl Script {
     fn new(name: &str) -> Self {
         let listeners = (0..2).map(|_| TcpListener::bind("127.0.0.1:0").expect("a socket"));
-        Play {
+        Script {
             folder: folder(name),
             program: None,
             clients: HashMap::new(),
@@ -136,14 +137,14 @@
         }
     }
 
-    fn note(&mut self, who: &str, heard: Option<Heard>) {
-        let Some(heard) = heard else {
+    fn record(&mut self, who: &str, message: Option<HttpMessage>) {
+        let Some(message) = message else {
             self.transcript.push_str(&format!("{who}: the connection ended\n"));
             return;
         };
         self.transcript.push_str(&format!("{who}:\n"));
-        for line in heard.head.lines().filter(|line| !line.is_empty()) {
-            // What differs from run to run: ports, and times that count down.
+        for line in message.head.lines().filter(|line| !line.is_empty()) {
+            // Ports and remaining times differ from run to run.
             let line = match line.split_once(": ") {
                 Some(("Host", _)) => "Host: HOST".to_string(),
                 Some(("X-Time-Left", _)) => "X-Time-Left: LEFT".to_string(),
@@ -151,10 +152,10 @@
             };
             self.transcript.push_str(&format!("    {line}\n"));
         }
-        if heard.body.len() > 200 {
-            self.transcript.push_str(&format!("    ({} bytes)\n", heard.body.len()));
-        } else if !heard.body.is_empty() {
-            self.transcript.push_str(&format!("    {}\n", String::from_utf8_lossy(&heard.body).trim_end()));
+        if message.body.len() > 200 {
+            self.transcript.push_str(&format!("    ({} bytes)\n", message.body.len()));
+        } else if !message.body.is_empty() {
+            self.transcript.push_str(&format!("    {}\n", String::from_utf8_lossy(&message.body).trim_end()));
         }
     }
 
@@ -207,12 +208,12 @@
             }
             ("logged", _) => {
                 let text = line.split_once(' ').map_or("", |(_, text)| text);
-                self.program.as_ref().expect("a program").logged(text);
+                self.program.as_ref().expect("a program").wait_for_log(text);
             }
             ("kill", _) => self.program.as_mut().expect("a program").kill(),
             ("terminate", _) => self.program.as_ref().expect("a program").terminate(),
             ("ends", _) => {
-                assert!(self.program.as_mut().expect("a program").ended_well(), "a good end");
+                assert!(self.program.as_mut().expect("a program").wait_success(), "exit status 0");
                 self.transcript.push_str("the program ended well\n");
             }
             ("client", "hands") => {
@@ -223,23 +224,23 @@
                     None => body.as_bytes().to_vec(),
                 };
                 let dest = dest.parse().expect("a number");
-                let message = handed_in(class, id, dest, left.parse().expect("a number"), &body);
+                let message = submit_request(class, id, dest, left.parse().expect("a number"), &body);
                 self.client(name).write_all(&message).expect("written");
             }
-            ("client", "sends") => self.client(name).write_all(&bytes(rest)).expect("written"),
+            ("client", "sends") => self.client(name).write_all(&unescape(rest)).expect("written"),
             ("client", "hears") => {
-                let heard = hear(self.client(name));
-                self.note(&format!("client {name} hears"), heard);
+                let message = read_http(self.client(name));
+                self.record(&format!("client {name} hears"), message);
             }
             ("endpoint", "accepts") => {
                 let stream = accept(&self.endpoints[name.parse::<usize>().expect("a number")]);
                 self.calls.entry(name.to_string()).or_default().push(stream);
             }
             ("endpoint", "hears") => {
-                let heard = hear(self.call(name));
-                self.note(&format!("endpoint {name} hears"), heard);
+                let message = read_http(self.call(name));
+                self.record(&format!("endpoint {name} hears"), message);
             }
-            ("endpoint", "answers") => self.call(name).write_all(&bytes(rest)).expect("written"),
+            ("endpoint", "answers") => self.call(name).write_all(&unescape(rest)).expect("written"),
             ("endpoint", "plugs") => {
                 let endpoint = &self.endpoints[name.parse::<usize>().expect("a number")];
                 socket2::SockRef::from(endpoint).listen(0).expect("a queue of one");
@@ -263,8 +264,8 @@
                 self.moved.push(old);
             }
             "hears_watch" => {
-                let (heard, stream) = self.agent.watches.recv_timeout(FAR).expect("a watch");
-                self.note("agent hears", Some(heard));
+                let (request, stream) = self.agent.watches.recv_timeout(TEST_TIMEOUT).expect("a watch");
+                self.record("agent hears", Some(request));
                 self.watch = Some(stream);
             }
             "drops_watch" => {
@@ -280,40 +281,42 @@
                 stream.write_all(&[head.as_bytes(), body.as_bytes()].concat()).expect("written");
             }
             "hears_notice" => {
-                let (heard, mut stream) = self.agent.notices.recv_timeout(FAR).expect("a notice");
-                self.note("agent hears", Some(heard));
+                let (request, mut stream) =
+                    self.agent.reports.recv_timeout(TEST_TIMEOUT).expect("a non-delivery report");
+                self.record("agent hears", Some(request));
                 stream.write_all(b"HTTP/1.1 204 No Content\r\n\r\n").expect("written");
             }
             "hears_notice_and_says_nothing" => {
-                let (heard, _) = self.agent.notices.recv_timeout(FAR).expect("a notice");
-                self.note("agent hears, and does not answer", Some(heard));
+                let (request, _) =
+                    self.agent.reports.recv_timeout(TEST_TIMEOUT).expect("a non-delivery report");
+                self.record("agent hears, and does not answer", Some(request));
             }
             other => panic!("no such step: agent {other}"),
         }
     }
 }
 
-fn play(name: &str, script: &str) {
-    let mut play = Play::new(name);
-    for line in script.lines().map(str::trim).filter(|line| !line.is_empty() && !line.starts_with('#')) {
-        play.transcript.push_str(&format!("> {line}\n"));
-        play.step(line);
+fn run_script(name: &str, text: &str) {
+    let mut script = Script::new(name);
+    for line in text.lines().map(str::trim).filter(|line| !line.is_empty() && !line.starts_with('#')) {
+        script.transcript.push_str(&format!("> {line}\n"));
+        script.step(line);
     }
     insta::with_settings!({prepend_module_to_snapshot => false, omit_expression => true}, {
-        insta::assert_snapshot!(name, play.transcript);
+        insta::assert_snapshot!(name, script.transcript);
     });
 }
 
-macro_rules! plays {
+macro_rules! scripts {
     ($($name:ident)*) => {
         $(#[test]
         fn $name() {
-            play(stringify!($name), include_str!(concat!("exchanges/", stringify!($name), ".txt")));
+            run_script(stringify!($name), include_str!(concat!("exchanges/", stringify!($name), ".txt")));
         })*
     };
 }
 
-plays! {
+scripts! {
     delivered_and_turned_away
     bad_input
     killed_with_a_call_out
@@ -334,90 +337,92 @@
     told_to_end_then_killed
 }
 
-/// Connections on which nothing or half a request comes hold every place: others are let in all the same, and
-/// each of the silent ones hears an error or a close.
+/// Connections with no request or an incomplete one reach the connection limit. Other clients must be accepted nevertheless, and
+/// each of these connections gets an error response or is closed.
 #[test]
-fn a_crowd_that_says_nothing_keeps_nobody_out() {
-    let mut play = Play::new("silence");
-    play.step("start sockets=64");
-    let mut silent: Vec<TcpStream> = (0..48).map(|_| connect(&play.listen)).collect();
+fn silent_connections_do_not_keep_other_clients_out() {
+    let mut script = Script::new("silence");
+    script.step("start sockets=64");
+    let mut silent: Vec<TcpStream> = (0..48).map(|_| connect(&script.listen)).collect();
     silent.iter_mut().step_by(2).for_each(|half| half.write_all(b"POST /paid-extra HT").expect("written"));
     for i in 0..4 {
-        let message = handed_in("status-update", &format!("m-{i}"), 0, 16_000, b"let in");
-        assert_eq!(ask(&mut connect(&play.listen), &message).expect("an answer").status(), 202);
+        let message = submit_request("status-update", &format!("m-{i}"), 0, 16_000, b"let in");
+        assert_eq!(send_and_read(&mut connect(&script.listen), &message).expect("an answer").status(), 202);
     }
     for stream in &mut silent {
-        if let Some(heard) = hear(stream) {
-            assert_eq!((heard.status(), hear(stream)), (408, None));
+        if let Some(response) = read_http(stream) {
+            assert_eq!((response.status(), read_http(stream)), (408, None));
         }
     }
 }
 
-/// Clients that ask once and keep their connections hold every place: the next is let in before it would give up.
+/// Clients that keep their connection after one request reach the connection limit. The next client must be accepted before it gives
+/// up.
 #[test]
-fn a_crowd_that_has_asked_keeps_nobody_out() {
-    let mut play = Play::new("kept");
-    play.step("start sockets=64");
+fn idle_connections_do_not_keep_other_clients_out() {
+    let mut script = Script::new("kept");
+    script.step("start sockets=64");
     let mut kept = Vec::new();
     for i in 0..48 {
-        let mut stream = connect(&play.listen);
+        let mut stream = connect(&script.listen);
         stream.set_read_timeout(Some(std::time::Duration::from_millis(1500))).expect("a deadline");
-        let message = handed_in("status-update", &format!("m-{i}"), 0, 16_000, b"asked once");
-        assert_eq!(ask(&mut stream, &message).expect("an answer, well before 2 s").status(), 202);
+        let message = submit_request("status-update", &format!("m-{i}"), 0, 16_000, b"asked once");
+        assert_eq!(send_and_read(&mut stream, &message).expect("an answer, well before 2 s").status(), 202);
         kept.push(stream);
     }
 }
 
-/// Calls that hang at both endpoints and clients that say nothing: the program stays within its descriptors, and goes on
-/// hearing clients and its agent.
+/// With calls that hang at both endpoints and silent clients at the connection limit, the program stays within its limit of file
+/// descriptors, and still serves clients and its agent.
 #[test]
-fn idle_clients_that_hold_every_place_leave_descriptors_for_calls_and_discovery() {
-    let mut play = Play::new("descriptors");
-    play.step("start sockets=64 slots=60");
+fn at_the_connection_limit_descriptors_remain_for_calls_and_discovery() {
+    let mut script = Script::new("descriptors");
+    script.step("start sockets=64 slots=60");
     for i in 0..60 {
-        let message = handed_in("status-update", &format!("m-{i}"), i % 2, 16_000, b"hangs");
-        assert_eq!(ask(play.client("a"), &message).expect("an answer").status(), 202);
+        let message = submit_request("status-update", &format!("m-{i}"), i % 2, 16_000, b"hangs");
+        assert_eq!(send_and_read(script.client("a"), &message).expect("an answer").status(), 202);
     }
-    let calls: Vec<TcpStream> = (0..20).map(|i| accept(&play.endpoints[i % 2])).collect();
-    let silent: Vec<TcpStream> = (0..60).map(|_| connect(&play.listen)).collect();
-    let message = handed_in("status-update", "m-60", 0, 16_000, b"let in");
-    assert_eq!(ask(&mut connect(&play.listen), &message).expect("an answer").status(), 202);
-    let held = play.program.as_ref().expect("a program").descriptors();
+    let calls: Vec<TcpStream> = (0..20).map(|i| accept(&script.endpoints[i % 2])).collect();
+    let silent: Vec<TcpStream> = (0..60).map(|_| connect(&script.listen)).collect();
+    let message = submit_request("status-update", "m-60", 0, 16_000, b"let in");
+    assert_eq!(send_and_read(&mut connect(&script.listen), &message).expect("an answer").status(), 202);
+    let held = script.program.as_ref().expect("a program").open_descriptors();
     assert!(held <= 64, "{held} of 64, with {} calls and {} clients", calls.len(), silent.len());
-    play.step("agent hears_watch");
+    script.step("agent hears_watch");
 }
 
-/// A body far over the limit: the answer arrives though most of the body was still to come.
+/// A body exceeds the size limit by far. The response must arrive although most of the body was not read: closing the connection
+/// with unread bytes would reset it.
 #[test]
-fn the_answer_to_an_endless_body_arrives() {
-    let mut play = Play::new("endless");
-    play.step("start");
+fn the_response_to_an_oversized_body_arrives() {
+    let mut script = Script::new("endless");
+    script.step("start");
     let head = "POST /paid-extra HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n";
-    let mut stream = connect(&play.listen);
+    let mut stream = connect(&script.listen);
     stream.write_all(&[head.as_bytes(), &vec![b'x'; 3_000_000]].concat()).expect("written, not reset");
-    assert_eq!(hear(&mut stream).expect("an answer").status(), 413);
+    assert_eq!(read_http(&mut stream).expect("an answer").status(), 413);
 }
 
-/// Bodies that come at the same moment are admitted together, each as if the others were stored already: else
-/// they fit one by one and the write of all does not.
+/// Bodies that arrive at the same time are admitted as if those before them were already stored. Otherwise each of them would fit on
+/// the disk, but not all of them together.
 #[test]
-fn a_crowd_of_large_messages_is_refused_before_the_disk_is_full() {
-    let mut play = Play::new("crowd");
-    play.step("start disk_mb=1 slots=1");
-    let mut streams: Vec<TcpStream> = (0..40).map(|_| connect(&play.listen)).collect();
+fn simultaneous_large_messages_are_refused_before_the_disk_is_full() {
+    let mut script = Script::new("crowd");
+    script.step("start disk_mb=1 slots=1");
+    let mut streams: Vec<TcpStream> = (0..40).map(|_| connect(&script.listen)).collect();
     let writers = streams.iter().enumerate().map(|(i, stream)| {
         let mut stream = stream.try_clone().expect("a stream");
-        let message = handed_in("status-update", &format!("m-{i}"), 0, 16_000, &[b'x'; 65_536]);
+        let message = submit_request("status-update", &format!("m-{i}"), 0, 16_000, &[b'x'; 65_536]);
         std::thread::spawn(move || stream.write_all(&message).expect("written"))
     });
-    writers.collect::<Vec<_>>().into_iter().for_each(|writer| writer.join().expect("its end"));
+    writers.collect::<Vec<_>>().into_iter().for_each(|writer| writer.join().expect("the thread ends"));
     let mut answers: Vec<u16> = Vec::new();
     for stream in &mut streams {
-        answers.push(hear(stream).expect("an answer, not a crash").status());
+        answers.push(read_http(stream).expect("an answer, not a crash").status());
     }
-    let taken = answers.iter().filter(|status| **status == 202).count();
-    assert!((1..15).contains(&taken) && answers.iter().all(|s| [202, 503].contains(s)), "{answers:?}");
-    let files = std::fs::read_dir(play.folder.join("state")).expect("a folder").flatten();
+    let accepted = answers.iter().filter(|status| **status == 202).count();
+    assert!((1..15).contains(&accepted) && answers.iter().all(|s| [202, 503].contains(s)), "{answers:?}");
+    let files = std::fs::read_dir(script.folder.join("state")).expect("a folder").flatten();
     let used: u64 = files.map(|file| file.metadata().expect("a file").len().div_ceil(512) * 512).sum();
     assert!(used <= 1_000_000, "{used}");
 }
--- a/tests/stand/control.rs
+++ b/tests/stand/control.rs
@@ -1,4 +1,4 @@
-//! A control machine in a test: publishes signed changes to relays over a UDP socket of its own.
+//! A control machine for tests: publishes signed changes to relays over its own UDP socket.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::mpsc::{Receiver, Sender, TryRecvError, channel};
@@ -18,14 +18,14 @@
 const PLACE: Place = Place { region: 0, zone: 0 };
 /// The zone of control machines, which follows those of relays.
 const CONTROL_PLACE: Place = Place { region: 0, zone: 1 };
-/// The longest wait for a datagram, so that orders and timers are served in time.
+/// Maximum wait for a datagram, so that commands and timers are handled in time.
 const TICK: Duration = Duration::from_millis(5);
-/// Bytes a second for those that lag behind: a snapshot is not to take the seconds that it takes in a large fleet.
+/// Bandwidth for relays that lag behind, in bytes per second. A snapshot should not take the seconds that it takes in a large fleet.
 const SERVE_BYTES_PER_S: u32 = 1_000_000;
-/// More than any datagram of the link.
-const DATAGRAM: usize = 512;
+/// Larger than any datagram of the peer link, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 512;
 
-/// The key by which changes are signed.
+/// The key that signs changes.
 pub fn control_key() -> SigningKey {
     SigningKey::from_bytes(&[7; 32])
 }
@@ -35,12 +35,12 @@
     SigningKey::from_bytes(&[8; 32])
 }
 
-/// A public key as a configuration has it.
+/// Returns the public key in the format of a configuration.
 pub fn hex(key: &SigningKey) -> String {
     key.verifying_key().to_bytes().iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Puts an endpoint under its address, which takes many calls a second.
+/// Returns the operation that adds an endpoint with a high call rate, identified by its address.
 pub fn put(destination: i64, address: SocketAddr) -> Operation {
     let endpoint = Endpoint {
         id: address.to_string(),
@@ -53,31 +53,31 @@
     Operation::PutEndpoint { destination: DestinationId(destination), endpoint }
 }
 
-/// The next change of a set, signed and applied to it.
+/// Creates the next change of a set, applies it and signs it.
 pub fn next_change(set: &mut DestinationSet, operations: Vec<Operation>, key: &SigningKey) -> SignedChange {
     let change = set.prepare_in_epoch(1, operations).expect("operations that fit");
     set.apply(&change).expect("the next change");
     SignedChange::sign(&change, key).expect("within bounds")
 }
 
-enum Order {
+enum Command {
     Publish(SignedChange),
-    Answer(bool),
+    SetAnswering(bool),
 }
 
-/// The only control machine of a test. Its set begins empty.
+/// The only control machine of a test. Its destination set is empty at first.
 pub struct Control {
     pub set: DestinationSet,
-    orders: Sender<Order>,
+    commands: Sender<Command>,
     _thread: JoinHandle<()>,
 }
 
 impl Control {
     /// Starts the machine on a socket, for relays at these addresses.
     pub fn start(socket: UdpSocket, relays: Vec<SocketAddr>, keys: Keys) -> Self {
-        let (orders, received) = channel();
-        let thread = std::thread::spawn(move || Machinery::new(socket, relays, keys).run(&received));
-        Control { set: DestinationSet::new(), orders, _thread: thread }
+        let (commands, received) = channel();
+        let thread = std::thread::spawn(move || MachineThread::new(socket, relays, keys).run(&received));
+        Control { set: DestinationSet::new(), commands, _thread: thread }
     }
 
     /// Publishes a change, signed by the control key.
@@ -88,24 +88,24 @@
     /// Publishes a change, signed by any key.
     pub fn publish_signed_by(&mut self, operations: Vec<Operation>, key: &SigningKey) {
         let signed = next_change(&mut self.set, operations, key);
-        self.orders.send(Order::Publish(signed)).expect("the machine runs");
+        self.commands.send(Command::Publish(signed)).expect("the machine runs");
     }
 
-    /// Whether it hears and says anything.
-    pub fn answer(&self, answer: bool) {
-        self.orders.send(Order::Answer(answer)).expect("the machine runs");
+    /// Sets whether the machine answers and sends anything.
+    pub fn set_answering(&self, answering: bool) {
+        self.commands.send(Command::SetAnswering(answering)).expect("the machine runs");
     }
 }
 
-struct Machinery {
+struct MachineThread {
     socket: UdpSocket,
     relays: Vec<SocketAddr>,
     link: Link,
     node: Node,
-    answers: bool,
+    answering: bool,
 }
 
-impl Machinery {
+impl MachineThread {
     fn new(socket: UdpSocket, relays: Vec<SocketAddr>, keys: Keys) -> Self {
         let now = now();
         let me = relays.len() as Peer;
@@ -113,7 +113,7 @@
         let mut machines: Vec<Machine> = (0..me).map(machine).collect();
         machines.push(Machine { peer: me, place: CONTROL_PLACE, role: Role::Control });
         let topology = Topology::new(&machines).expect("a topology").into();
-        // It would also send what the foreign key signed: relays are to refuse that by themselves.
+        // The machine itself accepts changes signed by the foreign key. The relays have to reject them.
         let signers = [control_key(), foreign_key()].map(|key| key.verifying_key().to_bytes());
         let signers = ControlKeys::new(&signers).expect("keys");
         let link = link::Config {
@@ -126,26 +126,26 @@
         };
         let config = Config { serve_bytes_per_s: SERVE_BYTES_PER_S, ..Config::new(me, topology, signers, 1) };
         let node = Node::new(config, DestinationSet::new(), None, now);
-        Machinery { socket, relays, link: Link::new(link, now), node, answers: true }
+        MachineThread { socket, relays, link: Link::new(link, now), node, answering: true }
     }
 
-    fn run(mut self, orders: &Receiver<Order>) {
+    fn run(mut self, commands: &Receiver<Command>) {
         self.socket.set_read_timeout(Some(TICK)).expect("a timeout");
-        let mut buffer = [0; DATAGRAM];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
-            match orders.try_recv() {
-                Ok(Order::Publish(signed)) => self.node.publish(now(), signed).expect("the next change"),
-                Ok(Order::Answer(answers)) => self.answers = answers,
+            match commands.try_recv() {
+                Ok(Command::Publish(signed)) => self.node.publish(now(), signed).expect("the next change"),
+                Ok(Command::SetAnswering(answering)) => self.answering = answering,
                 Err(TryRecvError::Empty) => {}
                 Err(TryRecvError::Disconnected) => return,
             }
-            let came = self.socket.recv_from(&mut buffer);
-            if !self.answers {
+            let received = self.socket.recv_from(&mut buffer);
+            if !self.answering {
                 continue;
             }
             self.node.confirm(now());
-            if let Ok((length, _)) = came {
-                // What it cannot read is nothing to it, as on any machine.
+            if let Ok((length, _)) = received {
+                // Invalid datagrams are ignored, as on any machine.
                 let _ = self.link.receive(now(), &buffer[..length], &mut [&mut self.node]);
             }
             for out in self.link.poll(now(), &mut [&mut self.node]) {
--- a/tests/stand/mod.rs
+++ b/tests/stand/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the tests: starts the program and speaks to it over loopback sockets. Every wait ends at one
-//! far deadline, and nothing sleeps to let something happen.
+//! Support for tests that run the program and talk to it over loopback sockets. Every wait has the same long timeout, and no test
+//! sleeps for a fixed time until something has happened.
 #![allow(dead_code)]
 
 pub mod control;
@@ -14,15 +14,14 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-/// No step of a test takes so long.
-pub const FAR: Duration = Duration::from_secs(30);
+/// Timeout of each step of a test, far longer than any step takes.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The test that first asked for each folder name, by the name of its thread.
+/// The test that first used each folder name, identified by its thread name.
 static FOLDER_OWNERS: Mutex<BTreeMap<String, String>> = Mutex::new(BTreeMap::new());
 
-/// A folder of its own for each test, emptied first. A name that another test has already used is refused, as tests run
-/// side by side and one would empty the folder under the other; where tests share one thread they have one name and
-/// cannot collide.
+/// Creates an empty folder for a test. Panics if another test has used the name: tests run in parallel, and one would empty the
+/// folder of the other. Tests that share one thread have the same thread name and run one after the other.
 pub fn folder(name: &str) -> PathBuf {
     let test = std::thread::current().name().unwrap_or("unnamed").to_string();
     let mut owners = FOLDER_OWNERS.lock().unwrap_or_else(PoisonError::into_inner);
@@ -35,18 +34,18 @@
     path
 }
 
-/// The program, killed when it is dropped.
+/// A running relay process, killed on drop.
 pub struct Program {
     child: Child,
     log: std::sync::mpsc::Receiver<String>,
-    /// What it listens on, in the order opened.
+    /// Listening addresses, in the order in which they were opened.
     pub addresses: Vec<String>,
-    /// The operators' door, where it has one.
-    pub door: String,
+    /// Address of the admin endpoint, empty if there is none.
+    pub admin_address: String,
 }
 
 impl Program {
-    /// Starts it and waits until it is ready; `sockets` is how many it listens on.
+    /// Starts the program and waits until it is ready with `sockets` listening sockets.
     pub fn start(arguments: &[&str], environment: &[(&str, &str)], sockets: usize) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_tulipfall"));
         command.args(arguments).envs(environment.iter().copied());
@@ -55,32 +54,34 @@
         program
     }
 
-    /// Starts it, and does not wait.
-    pub fn launched(arguments: &[&str]) -> Self {
+    /// Starts the program without waiting.
+    pub fn spawn(arguments: &[&str]) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_tulipfall"));
         command.args(arguments);
         Program::launch(command)
     }
 
-    /// Starts it with these variables, and does not wait.
-    pub fn launched_with(environment: &[(&str, &str)]) -> Self {
+    /// Starts the program with environment variables, without waiting.
+    pub fn spawn_with_env(environment: &[(&str, &str)]) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_tulipfall"));
         command.envs(environment.iter().copied());
         Program::launch(command)
     }
 
-    /// Whether it has not ended.
-    pub fn runs(&mut self) -> bool {
+    /// Returns whether the process has not exited.
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Starts it with a listening socket as descriptor 3, as the platform does, and does not wait.
-    pub fn inherit(listener: &TcpListener, environment: &[(&str, &str)]) -> Self {
-        Self::inherit_with(listener, &[], environment)
+    /// Starts the program with a listening socket as descriptor 3, as the platform does, without waiting.
+    pub fn start_with_listener(listener: &TcpListener, environment: &[(&str, &str)]) -> Self {
+        Self::start_with_listener_and_args(listener, &[], environment)
     }
 
-    /// The same, with arguments.
-    pub fn inherit_with(listener: &TcpListener, arguments: &[&str], environment: &[(&str, &str)]) -> Self {
+    /// Like [`Program::start_with_listener`], with arguments.
+    pub fn start_with_listener_and_args(
+        listener: &TcpListener, arguments: &[&str], environment: &[(&str, &str)],
+    ) -> Self {
         let mut command = Command::new("/bin/sh");
         command.args(["-c", "exec \"$0\" \"$@\" 3<&0 0</dev/null", env!("CARGO_BIN_EXE_tulipfall")]);
         command.args(arguments);
@@ -89,67 +90,67 @@
         Program::launch(command)
     }
 
-    /// How many descriptors it holds.
-    pub fn descriptors(&self) -> usize {
+    /// Returns the number of open file descriptors of the process.
+    pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("its descriptors").count()
     }
 
     fn launch(mut command: Command) -> Self {
         let mut child = command.stderr(Stdio::piped()).spawn().expect("the program starts");
         let lines = BufReader::new(child.stderr.take().expect("its log")).lines();
-        // Its log is read all the time, so that it never waits for a reader.
+        // The log is read continuously, so that the process never blocks on a full pipe.
         let (line, log) = std::sync::mpsc::channel();
         std::thread::spawn(move || lines.map_while(Result::ok).for_each(|text| drop(line.send(text))));
-        Program { child, log, addresses: vec![], door: String::new() }
+        Program { child, log, addresses: vec![], admin_address: String::new() }
     }
 
-    /// Waits until it is ready; `sockets` is how many it listens on.
+    /// Waits until the program is ready with `sockets` listening sockets.
     pub fn wait_ready(&mut self, sockets: usize) {
         let mut ready = false;
         while self.addresses.len() < sockets || !ready {
-            let line = self.log.recv_timeout(FAR).expect("the program is still there");
+            let line = self.log.recv_timeout(TEST_TIMEOUT).expect("the program is still running");
             if let Some((_, address)) = line.split_once("listening on ") {
                 self.addresses.push(address.to_string());
             }
             if let Some((_, address)) = line.split_once("operators' door on ") {
-                self.door = address.to_string();
+                self.admin_address = address.to_string();
             }
             ready |= line.contains(" ready, ");
         }
     }
 
-    /// SIGKILL.
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// SIGTERM; waits until the program has heard it.
+    /// Sends SIGTERM and waits until the program logs that it stops.
     pub fn terminate(&self) {
         self.signal("-TERM");
-        self.logged("stopping");
+        self.wait_for_log("stopping");
     }
 
-    /// Any signal.
+    /// Sends a signal, given as an option of `kill`.
     pub fn signal(&self, signal: &str) {
         let id = self.child.id().to_string();
         Command::new("kill").args([signal, &id]).status().expect("kill runs");
     }
 
-    /// Waits until its log says so.
-    pub fn logged(&self, text: &str) {
-        while !self.log.recv_timeout(FAR).expect(text).contains(text) {}
+    /// Waits until a log line contains the text.
+    pub fn wait_for_log(&self, text: &str) {
+        while !self.log.recv_timeout(TEST_TIMEOUT).expect(text).contains(text) {}
     }
 
-    /// Its exit status, and what it logged, once it has ended.
-    pub fn ended(&mut self) -> (Option<i32>, Vec<String>) {
-        let code = self.child.wait().expect("its end").code();
+    /// Waits until the process exits. Returns its exit status and the rest of its log.
+    pub fn wait_exit(&mut self) -> (Option<i32>, Vec<String>) {
+        let code = self.child.wait().expect("its exit").code();
         (code, self.log.iter().collect())
     }
 
-    /// Whether it ended well, once it has ended.
-    pub fn ended_well(&mut self) -> bool {
-        self.child.wait().expect("its end").success()
+    /// Waits until the process exits. Returns whether its exit status is 0.
+    pub fn wait_success(&mut self) -> bool {
+        self.child.wait().expect("its exit").success()
     }
 }
 
@@ -159,15 +160,15 @@
     }
 }
 
-/// One HTTP message as it came: the head and the body.
+/// A received HTTP message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Heard {
+pub struct HttpMessage {
     pub head: String,
     pub body: Vec<u8>,
 }
 
-impl Heard {
-    /// A header's value.
+impl HttpMessage {
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head
             .lines()
@@ -176,14 +177,14 @@
             .find_map(|(found, value)| found.eq_ignore_ascii_case(name).then(|| value.trim()))
     }
 
-    /// The status of a response.
+    /// Returns the status of a response, or 0 if it has none.
     pub fn status(&self) -> u16 {
         self.head.split(' ').nth(1).and_then(|word| word.parse().ok()).unwrap_or(0)
     }
 }
 
-/// Reads one HTTP message; `None` where the connection ends before.
-pub fn hear(stream: &mut TcpStream) -> Option<Heard> {
+/// Reads one HTTP message. Returns `None` if the connection ends before it is complete.
+pub fn read_http(stream: &mut TcpStream) -> Option<HttpMessage> {
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") {
@@ -192,31 +193,31 @@
         }
         head.push(byte[0]);
     }
-    let mut heard = Heard { head: String::from_utf8_lossy(&head).into_owned(), body: vec![] };
-    let length = heard.header("Content-Length").and_then(|length| length.parse().ok()).unwrap_or(0);
-    heard.body = vec![0; length];
-    stream.read_exact(&mut heard.body).ok()?;
-    Some(heard)
+    let mut message = HttpMessage { head: String::from_utf8_lossy(&head).into_owned(), body: vec![] };
+    let length = message.header("Content-Length").and_then(|length| length.parse().ok()).unwrap_or(0);
+    message.body = vec![0; length];
+    stream.read_exact(&mut message.body).ok()?;
+    Some(message)
 }
 
-/// A connection with the far deadline.
+/// Opens a connection with the timeout for reads.
 pub fn connect(address: &str) -> TcpStream {
     let stream = TcpStream::connect(address).expect("a connection");
-    stream.set_read_timeout(Some(FAR)).expect("a deadline");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a timeout");
     stream
 }
 
-/// The next connection of a listener.
+/// Accepts the next connection of a listener.
 pub fn accept(listener: &TcpListener) -> TcpStream {
-    // A listener's deadline for reads is the one for accepting.
-    socket2::SockRef::from(listener).set_read_timeout(Some(FAR)).expect("a deadline");
+    // The read timeout of a listener applies to accept.
+    socket2::SockRef::from(listener).set_read_timeout(Some(TEST_TIMEOUT)).expect("a timeout");
     let (stream, _) = listener.accept().expect("a connection");
-    stream.set_read_timeout(Some(FAR)).expect("a deadline");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a timeout");
     stream
 }
 
-/// A message as a client hands it in.
-pub fn handed_in(class: &str, id: &str, dest: i64, left_ms: u64, body: &[u8]) -> Vec<u8> {
+/// Returns the request with which a client submits a message.
+pub fn submit_request(class: &str, id: &str, dest: i64, left_ms: u64, body: &[u8]) -> Vec<u8> {
     let head = format!(
         "POST /{class} HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: {id}\r\nX-Account: desk\r\n\
          X-Time-Left: {left_ms}m\r\nX-Addressing: dest={dest}\r\nContent-Length: {}\r\n\r\n",
@@ -225,8 +226,8 @@
     [head.as_bytes(), body].concat()
 }
 
-/// Writes bytes and reads the answer.
-pub fn ask(stream: &mut TcpStream, bytes: &[u8]) -> Option<Heard> {
+/// Writes bytes and reads the response.
+pub fn send_and_read(stream: &mut TcpStream, bytes: &[u8]) -> Option<HttpMessage> {
     stream.write_all(bytes).ok()?;
-    hear(stream)
+    read_http(stream)
 }
--- a/tests/stand/partner.rs
+++ b/tests/stand/partner.rs
@@ -1,44 +1,44 @@
-//! An endpoint of a destination in a test, and waiting until something holds.
+//! A test endpoint, and a wait for a condition.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-use super::{FAR, hear};
+use super::{TEST_TIMEOUT, read_http};
 
-/// From one look at a condition to the next.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval between checks of a condition.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until that holds.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds. `what` describes it.
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let started = Instant::now();
     while !holds() {
-        assert!(started.elapsed() < FAR, "never: {what}");
-        std::thread::sleep(LOOK);
+        assert!(started.elapsed() < TEST_TIMEOUT, "timeout: {what}");
+        std::thread::sleep(CHECK_INTERVAL);
     }
 }
 
-/// An endpoint that takes every call, and tells the messages that came.
+/// An endpoint that accepts every call and records the messages.
 pub struct Partner {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// The correlation ids of the messages that came.
-    pub heard: Receiver<String>,
+    /// Correlation ids of the received messages.
+    pub messages: Receiver<String>,
 }
 
 impl Partner {
-    /// Starts it on a port of its own.
+    /// Starts the endpoint on a free port.
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a socket");
         let address = listener.local_addr().expect("an address");
-        let (tell, heard) = channel();
+        let (sender, messages) = channel();
         std::thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                let tell = tell.clone();
+                let sender = sender.clone();
                 std::thread::spawn(move || {
-                    while let Some(call) = hear(&mut stream) {
-                        let _ = tell.send(call.header("X-Correlation-Id").unwrap_or_default().to_string());
+                    while let Some(call) = read_http(&mut stream) {
+                        let _ = sender.send(call.header("X-Correlation-Id").unwrap_or_default().to_string());
                         if stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").is_err() {
                             return;
                         }
@@ -46,11 +46,11 @@
                 });
             }
         });
-        Partner { address, heard }
+        Partner { address, messages }
     }
 
-    /// Waits for the next message and tells which it is.
-    pub fn next(&self) -> String {
-        self.heard.recv_timeout(FAR).expect("a message")
+    /// Waits for the next message. Returns its correlation id.
+    pub fn next_message(&self) -> String {
+        self.messages.recv_timeout(TEST_TIMEOUT).expect("a message")
     }
 }
--- a/tests/stand/site.rs
+++ b/tests/stand/site.rs
@@ -1,15 +1,15 @@
-//! A site of the platform's form for tests of daily operation, and calls at the operators' door.
+//! A platform configuration for tests, and requests to the admin endpoint.
 
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
 
-use super::{ask, connect};
+use super::{connect, send_and_read};
 
-/// A door's answer is due within this.
-const DUE: Duration = Duration::from_secs(1);
+/// Maximum time for a response of the admin endpoint.
+const ADMIN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A platform's configuration with a door, and an endpoint for each destination from 0 on.
+/// Returns a platform configuration with an admin endpoint, and one endpoint for each destination from 0 on.
 pub fn configuration(endpoints: &[String]) -> Value {
     let members: Vec<Value> = endpoints
         .iter()
@@ -42,13 +42,13 @@
     })
 }
 
-/// One call at the door: the status and the body, within the time that is due.
-pub fn order(door: &str, method: &str, path: &str) -> (u16, Value) {
+/// Makes a request to the admin endpoint. Returns the status and the body, and panics if the response takes too long.
+pub fn admin_request(address: &str, method: &str, path: &str) -> (u16, Value) {
     let began = Instant::now();
-    let mut stream = connect(door);
-    let call = format!("{method} {path} HTTP/1.1\r\nHost: relay\r\nContent-Length: 0\r\n\r\n");
-    let heard = ask(&mut stream, call.as_bytes()).expect("an answer");
-    assert!(began.elapsed() < DUE, "{method} {path} took {:?}", began.elapsed());
-    assert_eq!(heard.header("Connection"), Some("close"));
-    (heard.status(), serde_json::from_slice(&heard.body).unwrap_or_default())
+    let mut stream = connect(address);
+    let request = format!("{method} {path} HTTP/1.1\r\nHost: relay\r\nContent-Length: 0\r\n\r\n");
+    let response = send_and_read(&mut stream, request.as_bytes()).expect("an answer");
+    assert!(began.elapsed() < ADMIN_TIMEOUT, "{method} {path} took {:?}", began.elapsed());
+    assert_eq!(response.header("Connection"), Some("close"));
+    (response.status(), serde_json::from_slice(&response.body).unwrap_or_default())
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Condvar, Mutex, mpsc};
 
-use stand::site::{configuration, order};
+use stand::site::{admin_request, configuration};
 use stand::*;
 
 struct Scene {
@@ -44,7 +44,7 @@
         let path = |name: &str| self.folder.join(name).display().to_string();
         let (config, state) = (path("config.json"), path("state"));
         let own = [("PROXY_CONFIG", config.as_str()), ("PROXY_STATE", state.as_str())];
-        Program::inherit(&self.clients, &[&own, more].concat())
+        Program::start_with_listener(&self.clients, &[&own, more].concat())
     }
 
     fn start(&self) -> Program {
@@ -55,14 +55,14 @@
 }
 
 fn hand(class: &str, id: &str, dest: i64) -> Vec<u8> {
-    handed_in(class, id, dest, 12_000, b"body")
+    submit_request(class, id, dest, 12_000, b"body")
 }
 
 fn status(stream: &mut TcpStream, bytes: &[u8]) -> u16 {
-    ask(stream, bytes).expect("an answer, and no reset").status()
+    send_and_read(stream, bytes).expect("an answer, and no reset").status()
 }
 
-fn id(call: &Heard) -> String {
+fn id(call: &HttpMessage) -> String {
     call.header("X-Correlation-Id").unwrap_or_default().to_string()
 }
 
@@ -80,10 +80,10 @@
     let mut kept = connect(&scene.listen());
     assert_eq!(status(&mut kept, &hand("paid-extra", "c1", 0)), 202);
     let mut call = accept(&scene.endpoints[0]);
-    assert_eq!(id(&hear(&mut call).expect("a call")), "c1");
+    assert_eq!(id(&read_http(&mut call).expect("a call")), "c1");
     assert_eq!(status(&mut kept, &hand("status-update", "w1", 1)), 202);
     let mut refused = accept(&scene.endpoints[1]);
-    assert_eq!(id(&hear(&mut refused).expect("a call")), "w1");
+    assert_eq!(id(&read_http(&mut refused).expect("a call")), "w1");
     refused.write_all(b"HTTP/1.1 429 Full\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n").expect("written");
     let told = std::time::Instant::now();
     let untouched = connect(&scene.listen());
@@ -94,28 +94,28 @@
     assert_eq!(status(&mut kept, &hand("status-update", "n1", 9)), 503);
 
     let new = scene.start();
-    assert_eq!(order(&new.door, "GET", "/status").0, 200);
-    let (status_old, body) = order(&old.door, "GET", "/status");
+    assert_eq!(admin_request(&new.admin_address, "GET", "/status").0, 200);
+    let (status_old, body) = admin_request(&old.admin_address, "GET", "/status");
     assert_eq!((status_old, body["state"].as_str()), (503, Some("superseded")));
-    assert_eq!(order(&old.door, "POST", "/standby").0, 409);
+    assert_eq!(admin_request(&old.admin_address, "POST", "/standby").0, 409);
     // What still comes on the old one's connections is taken on by the new one, and ends them.
-    let heard = ask(&mut kept, &hand("status-update", "k1", 0)).expect("an answer");
+    let heard = send_and_read(&mut kept, &hand("status-update", "k1", 0)).expect("an answer");
     assert_eq!((heard.status(), heard.header("Connection")), (202, Some("close")));
     ends(kept);
     half.write_all(&bytes[40..]).expect("written");
-    assert_eq!(hear(&mut half).expect("an answer").status(), 202);
+    assert_eq!(read_http(&mut half).expect("an answer").status(), 202);
     ends(half);
     ends(untouched);
     let mut fresh = connect(&scene.listen());
-    let heard = ask(&mut fresh, &hand("status-update", "f1", 0)).expect("an answer");
+    let heard = send_and_read(&mut fresh, &hand("status-update", "f1", 0)).expect("an answer");
     assert_eq!((heard.status(), heard.header("Connection")), (202, None));
     // The charge is answered on the old one's socket, and is never called again.
     call.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("written");
-    assert!(old.ended_well(), "with nothing left it goes by itself");
+    assert!(old.wait_success(), "with nothing left it goes by itself");
     let mut others: Vec<String> = (0..3)
         .map(|_| {
             let mut call = accept(&scene.endpoints[0]);
-            let heard = hear(&mut call).expect("a call");
+            let heard = read_http(&mut call).expect("a call");
             call.write_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
                 .expect("written");
             id(&heard)
@@ -125,7 +125,7 @@
     assert_eq!(others, ["f1", "h1", "k1"]);
     // The wait was told to the old one and binds the new one.
     let mut again = accept(&scene.endpoints[1]);
-    assert_eq!(id(&hear(&mut again).expect("a call")), "w1");
+    assert_eq!(id(&read_http(&mut again).expect("a call")), "w1");
     assert!(told.elapsed().as_millis() >= 1990, "the wait was cut short: {:?}", told.elapsed());
 }
 
@@ -140,15 +140,16 @@
     };
     assert_eq!(status(&mut client, &keyed("w1")), 202);
     let mut refused = accept(&scene.endpoints[1]);
-    let first = hear(&mut refused).expect("a call");
+    let first = read_http(&mut refused).expect("a call");
     refused.write_all(b"HTTP/1.1 429 Full\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n").expect("written");
     // Its outcome has reached the old one once the next message is answered.
     assert_eq!(status(&mut client, &hand("status-update", "n1", 9)), 503);
     let new = scene.start();
     let mut again = accept(&scene.endpoints[1]);
-    let second = hear(&mut again).expect("a call");
-    let told =
-        |heard: &Heard| (id(heard), heard.header("Idempotency-Key").map(String::from), heard.body.clone());
+    let second = read_http(&mut again).expect("a call");
+    let told = |heard: &HttpMessage| {
+        (id(heard), heard.header("Idempotency-Key").map(String::from), heard.body.clone())
+    };
     assert_eq!(told(&first), ("w1".into(), Some("a key, unchanged".into()), b"body".to_vec()));
     assert_eq!(told(&second), told(&first));
     again.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("written");
@@ -172,14 +173,14 @@
     std::fs::write(&file, config.to_string()).expect("a file");
     // The other relay is this test: it hears who asks it.
     let peer = free.into_iter().nth(1).expect("two sockets");
-    peer.set_read_timeout(Some(FAR)).expect("a deadline");
+    peer.set_read_timeout(Some(TEST_TIMEOUT)).expect("a deadline");
     let both = [("TULIPFALL_NOTES", "on"), ("TULIPFALL_PERMITS", "parts")];
     let mut old = scene.launch_with(&both);
     old.wait_ready(1);
     let mut new = scene.launch_with(&both);
     new.wait_ready(1);
-    assert!(old.ended_well(), "with nothing left it goes by itself");
-    assert_eq!(order(&new.door, "GET", "/status").0, 200);
+    assert!(old.wait_success(), "with nothing left it goes by itself");
+    assert_eq!(admin_request(&new.admin_address, "GET", "/status").0, 200);
     // What the old one said lies here still; what comes after all of that is the new one's.
     let mut buffer = [0; 512];
     peer.set_nonblocking(true).expect("a socket");
@@ -197,7 +198,7 @@
     let mut kept = connect(&scene.listen());
     assert_eq!(status(&mut kept, &hand("paid-extra", "c1", 0)), 202);
     let mut call = accept(&scene.endpoints[0]);
-    assert_eq!(id(&hear(&mut call).expect("a call")), "c1");
+    assert_eq!(id(&read_http(&mut call).expect("a call")), "c1");
     // One that says hello and no more, and one that says nonsense: lost on the way, or of another make.
     for bytes in [&b""[..], b"\x04\0\0\0\0\0\0\0nope", b"\xff\xff\xff\xff\0\0\0\0"] {
         let mut link = UnixStream::connect(scene.folder.join("state/handover")).expect("a link");
@@ -220,19 +221,19 @@
     let mut link = hello("n0", 1);
     let mut lengths = [0; 8];
     link.read_exact(&mut lengths).expect("a state");
-    assert_eq!(order(&old.door, "GET", "/status").1["state"], "handing over");
+    assert_eq!(admin_request(&old.admin_address, "GET", "/status").1["state"], "handing over");
     drop(link);
-    old.logged("was lost; this one goes on");
+    old.wait_for_log("was lost; this one goes on");
     assert_eq!(status(&mut kept, &hand("status-update", "k1", 9)), 503, "it answers as ever");
-    assert_eq!(order(&old.door, "GET", "/status").0, 200);
+    assert_eq!(admin_request(&old.admin_address, "GET", "/status").0, 200);
 
     let mut second = scene.start();
     // A third comes while the second has the first's call to wait for: it waits, and harms nothing.
     let mut third = scene.launch();
     call.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("written");
     third.wait_ready(1);
-    assert_eq!(order(&third.door, "GET", "/status").0, 200);
-    assert!(second.ended_well());
+    assert_eq!(admin_request(&third.admin_address, "GET", "/status").0, 200);
+    assert!(second.wait_success());
     let mut fresh = connect(&scene.listen());
     assert_eq!(
         status(&mut fresh, &hand("paid-extra", "c1", 0)),
@@ -241,7 +242,7 @@
     );
     assert_eq!(status(&mut fresh, &hand("status-update", "f1", 0)), 202);
     let mut call = accept(&scene.endpoints[0]);
-    assert_eq!(id(&hear(&mut call).expect("a call")), "f1", "the charge is not called again");
+    assert_eq!(id(&read_http(&mut call).expect("a call")), "f1", "the charge is not called again");
 }
 
 /// A word of the link, as it goes over.
@@ -273,7 +274,7 @@
         let mut kept = connect(&scene.listen());
         assert_eq!(status(&mut kept, &hand("paid-extra", "c1", 0)), 202);
         let mut call = accept(&scene.endpoints[0]);
-        assert_eq!(id(&hear(&mut call).expect("a call")), "c1");
+        assert_eq!(id(&read_http(&mut call).expect("a call")), "c1");
         assert_eq!(status(&mut kept, &hand("status-update", "s1", 9)), 503, "it is out for certain");
         let mut link = UnixStream::connect(scene.folder.join("state/handover")).expect("a link");
         link.write_all(&frame(&serde_json::json!({"Hello": {"version": 1, "name": "n0"}}))).expect("written");
@@ -290,15 +291,15 @@
         drop(link);
         if step != "old, offering" {
             // It never serves again, and says so.
-            old.logged("the process that took over is gone");
+            old.wait_for_log("the process that took over is gone");
             assert_eq!(status(&mut kept, &hand("status-update", "k1", 0)), 503);
-            assert_eq!(order(&old.door, "GET", "/status").1["state"], "superseded");
+            assert_eq!(admin_request(&old.admin_address, "GET", "/status").1["state"], "superseded");
         }
         let new = scene.start();
         let mut fresh = connect(&scene.listen());
         assert_eq!(status(&mut fresh, &hand("status-update", "s2", 0)), 202);
         let mut next = accept(&scene.endpoints[0]);
-        assert_eq!(id(&hear(&mut next).expect("a call")), "s2", "{step}: the charge may have run");
+        assert_eq!(id(&read_http(&mut next).expect("a call")), "s2", "{step}: the charge may have run");
         drop((call, new));
     }
 }
@@ -316,7 +317,7 @@
         for mut stream in endpoint.incoming().flatten() {
             let (ran, done) = (ran.clone(), done.clone());
             std::thread::spawn(move || {
-                while let Some(heard) = hear(&mut stream) {
+                while let Some(heard) = read_http(&mut stream) {
                     let _ = ran.send(id(&heard));
                     *done.0.lock().expect("a count") -= 1;
                     done.1.notify_one();
@@ -336,16 +337,16 @@
                 let (mut stream, mut sent) = (connect(&listen), vec![]);
                 while !stop.load(Ordering::Relaxed) {
                     let count = waiting.0.lock().expect("a count");
-                    let room = waiting.1.wait_timeout_while(count, FAR, |count| *count >= 50);
+                    let room = waiting.1.wait_timeout_while(count, TEST_TIMEOUT, |count| *count >= 50);
                     *room.expect("room").0 += 1;
                     let id = format!("{client}-{}", sent.len());
                     let bytes = hand("paid-extra", &id, 0);
-                    let heard = match ask(&mut stream, &bytes) {
+                    let heard = match send_and_read(&mut stream, &bytes) {
                         Some(heard) => heard,
                         // Closed between requests as this one was on its way: once more, on a new connection.
                         None => {
                             stream = connect(&listen);
-                            ask(&mut stream, &bytes).expect("an answer on a new connection")
+                            send_and_read(&mut stream, &bytes).expect("an answer on a new connection")
                         }
                     };
                     assert_eq!(
@@ -369,7 +370,7 @@
         all.extend(runs.iter().take(100));
         let new = scene.start();
         old.terminate();
-        assert!(old.ended_well());
+        assert!(old.wait_success());
         old = new;
     }
     stop.store(true, Ordering::Relaxed);
@@ -377,10 +378,10 @@
         clients.into_iter().flat_map(|client| client.join().expect("no client met an error")).collect();
     // All that was taken on runs, and runs once.
     while all.len() < sent.len() {
-        all.push(runs.recv_timeout(FAR).expect("what was taken on runs"));
+        all.push(runs.recv_timeout(TEST_TIMEOUT).expect("what was taken on runs"));
     }
     old.terminate();
-    assert!(old.ended_well());
+    assert!(old.wait_success());
     all.extend(runs.try_iter());
     all.sort();
     sent.sort();
@@ -395,7 +396,7 @@
         let mut kept = connect(&scene.listen());
         assert_eq!(status(&mut kept, &hand("paid-extra", "c1", 0)), 202);
         let mut call = accept(&scene.endpoints[0]);
-        assert_eq!(id(&hear(&mut call).expect("a call")), "c1");
+        assert_eq!(id(&read_http(&mut call).expect("a call")), "c1");
         let mut new = scene.start();
         let mut fresh = connect(&scene.listen());
         assert_eq!(status(&mut fresh, &hand("status-update", "s1", 1)), 202);
@@ -403,7 +404,7 @@
             old.kill();
         }
         if dies == "old" {
-            new.logged("the old process has gone; 1 of its calls");
+            new.wait_for_log("the old process has gone; 1 of its calls");
         } else {
             new.kill();
             // What still comes at the old one is refused, and not taken on by one that owns nothing.
@@ -416,7 +417,7 @@
         let mut fresh = connect(&scene.listen());
         assert_eq!(status(&mut fresh, &hand("status-update", "s2", 0)), 202);
         let mut next = accept(&scene.endpoints[0]);
-        assert_eq!(id(&hear(&mut next).expect("a call")), "s2", "{dies}: the charge may have run");
+        assert_eq!(id(&read_http(&mut next).expect("a call")), "s2", "{dies}: the charge may have run");
         drop((call, new));
     }
 }
@@ -429,11 +430,11 @@
         let mut kept = connect(&scene.listen());
         assert_eq!(status(&mut kept, &hand("status-update", "s1", 0)), 202);
         let mut call = accept(&scene.endpoints[0]);
-        assert_eq!(id(&hear(&mut call).expect("a call")), "s1");
+        assert_eq!(id(&read_http(&mut call).expect("a call")), "s1");
         let mut new = scene.launch_with(&[("TULIPFALL_LOG", "debug")]);
         new.wait_ready(1);
         call.write_all(b"HTTP/1.1 410 Gone\r\n").expect("written");
-        new.logged("heard");
+        new.wait_for_log("heard");
         // What is accepted after that is stored behind it.
         assert_eq!(status(&mut connect(&scene.listen()), &hand("status-update", "s0", 1)), 202);
         if dies == "old" {
@@ -446,7 +447,7 @@
         let mut fresh = connect(&scene.listen());
         assert_eq!(status(&mut fresh, &hand("status-update", "s2", 0)), 202);
         let mut next = accept(&scene.endpoints[0]);
-        assert_eq!(id(&hear(&mut next).expect("a call")), "s2", "{dies}: the message is over");
+        assert_eq!(id(&read_http(&mut next).expect("a call")), "s2", "{dies}: the message is over");
         drop((call, new));
     }
 }
