--- a/crates/permits/src/item.rs
+++ b/crates/permits/src/item.rs
@@ -1,7 +1,7 @@
 //! Items that relays and coordinators exchange in frames of the peer link, and their layout. Decoding never panics on malformed
 //! input.
 
-use fleet::note::Stamp;
+use fleet::datagram::Stamp;
 use serde::{Deserialize, Serialize};
 
 use crate::WaitingByPriority;
--- a/crates/permits/src/node/channel.rs
+++ b/crates/permits/src/node/channel.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use fleet::frame;
-use fleet::link::{Channel, Said, Sender};
+use fleet::link::{Channel, OutgoingFrame, Sender};
 use fleet::members::Members;
 
 use crate::item::{CHANNEL, Item, read};
@@ -18,11 +18,11 @@
     }
 
     /// Grants are not delayed by the link's bandwidth budget: requests and calls bound their volume.
-    fn bound(&self) -> bool {
+    fn is_budgeted(&self) -> bool {
         false
     }
 
-    fn hear(&mut self, now: Micros, from: &Sender, _: &Members, bytes: &[u8]) -> bool {
+    fn receive_frame(&mut self, now: Micros, from: &Sender, _: &Members, bytes: &[u8]) -> bool {
         let round_trip = self.contacts.get(&from.peer).and_then(|contact| contact.round_trip);
         self.contacts.insert(from.peer, LastContact { at: now, stamp: from.sent, round_trip });
         self.avoided.remove(&from.peer);
@@ -32,7 +32,7 @@
         all_valid
     }
 
-    fn say(&mut self, now: Micros, _: &Members, room: usize, _: usize) -> Vec<Said> {
+    fn poll_frames(&mut self, now: Micros, _: &Members, room: usize, _: usize) -> Vec<OutgoingFrame> {
         if self.has_shares() {
             self.send_loan_requests(now)
         } else {
--- a/crates/permits/src/node/destination.rs
+++ b/crates/permits/src/node/destination.rs
@@ -1,7 +1,7 @@
 //! State of a destination at a requesting relay, and of other relays as coordinators.
 
 use escrow::Part;
-use fleet::note::Stamp;
+use fleet::datagram::Stamp;
 
 use crate::{Micros, Peer, SECOND, WaitingByPriority};
 
--- a/crates/permits/src/node/loans.rs
+++ b/crates/permits/src/node/loans.rs
@@ -1,6 +1,6 @@
 //! Requests and loans where each relay owns a share of the limit.
 
-use fleet::note::Stamp;
+use fleet::datagram::Stamp;
 use fleet::rendezvous;
 
 use crate::coordinator::{Answer, RATE_VALIDITY, Requester};
--- a/crates/permits/src/node/mod.rs
+++ b/crates/permits/src/node/mod.rs
@@ -16,8 +16,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use escrow::{Part, Terms};
+use fleet::datagram::{ReplayWindow, Stamp};
 use fleet::nearest;
-use fleet::note::{Replay, Stamp};
 use overload::waits::Waits;
 
 use crate::coordinator::{ColdStart, Coordinator, Grant, Queue, SharingConfig};
@@ -106,7 +106,7 @@
     /// Stamps of the requests that the next message answers.
     request_stamps: BTreeMap<Peer, Stamp>,
     /// Relays of the previous build, with the replay protection for their datagrams.
-    v2_peers: BTreeMap<Peer, Replay>,
+    v2_peers: BTreeMap<Peer, ReplayWindow>,
     /// Number of the last datagram of protocol version 2.
     v2_number: u32,
     outgoing: Vec<(Peer, Item)>,
--- a/crates/permits/src/node/receive.rs
+++ b/crates/permits/src/node/receive.rs
@@ -1,7 +1,7 @@
 //! Items that arrive from other relays.
 
+use fleet::datagram::Stamp;
 use fleet::link::Sender;
-use fleet::note::Stamp;
 use overload::waits::Waits;
 
 use crate::coordinator::{Answer, RATE_VALIDITY, Report, Requester};
@@ -32,7 +32,7 @@
                 self.update_relay_count(relays);
                 self.measure_round_trip(now, from, stamp);
                 let young = Micros::from(age) * AGE_UNIT <= MAX_GRANT_DELAY;
-                let usable = !self.has_shares() || from.late <= MAX_GRANT_DELAY && young;
+                let usable = !self.has_shares() || from.delay <= MAX_GRANT_DELAY && young;
                 self.receive_grants(now, from.peer, destination, total, few_connections, usable);
             }
             Item::Rate { destination, per_s, stamp, relays } => {
--- a/crates/permits/tests/fleet.rs
+++ b/crates/permits/tests/fleet.rs
@@ -3,9 +3,9 @@
 
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
+use fleet::datagram::{DatagramError, Stamp};
 use fleet::keys::{Key, Keys};
-use fleet::link::{self, Link};
-use fleet::note::{NoteError, Stamp};
+use fleet::link::{self, PeerLink};
 use permits::coordinator::{ColdStart, Coordinator, Report, Requester, SharingConfig};
 use permits::held_grants::{Admission, HeldGrants};
 use permits::item::{CallResult, Item};
@@ -32,28 +32,29 @@
 
 /// A relay with its peer link and the channel of limit coordinators.
 struct Relay {
-    link: Link,
+    link: PeerLink,
     permits: Node,
 }
 
 impl Relay {
     fn new(me: Peer, (relays, sharing): (Peer, Sharing), incarnation: u32, keys: Keys, now: Micros) -> Self {
         let peers = (0..relays).collect();
-        let link = link::Config { me, incarnation, peers, keys, bytes_per_s: 4000, asks: false };
+        let link =
+            link::Config { me, incarnation, peers, keys, bytes_per_s: 4000, pings_silent_peers: false };
         let config = Config { me, relays, incarnation, cold: COLD, sharing, follow_success_rate: false };
-        Relay { link: Link::new(link, now), permits: Node::new(config, now) }
+        Relay { link: PeerLink::new(link, now), permits: Node::new(config, now) }
     }
 
-    fn poll(&mut self, now: Micros) -> Vec<fleet::link::Out> {
+    fn poll(&mut self, now: Micros) -> Vec<fleet::link::OutgoingDatagram> {
         let mut out = self.link.poll(now, &mut [&mut self.permits]);
         out.extend(self.permits.take_v2_datagrams(&self.link.keys().clone()));
         out
     }
 
     /// Passes datagrams of version 2 to the channel that knows that version, as the relay process does.
-    fn receive(&mut self, now: Micros, bytes: &[u8]) -> Result<(), NoteError> {
+    fn receive(&mut self, now: Micros, bytes: &[u8]) -> Result<(), DatagramError> {
         match self.link.receive(now, bytes, &mut [&mut self.permits]) {
-            Err(NoteError::Version(2)) => self.permits.receive_v2(now, bytes, &self.link.keys().clone()),
+            Err(DatagramError::Version(2)) => self.permits.receive_v2(now, bytes, &self.link.keys().clone()),
             received => received,
         }
     }
@@ -188,7 +189,7 @@
                 match self.events.remove(&number) {
                     Some(SimEvent::Datagram(to, bytes)) if !self.dead.contains(&to) => {
                         let received = self.nodes[usize::from(to)].receive(self.now, &bytes);
-                        assert!(matches!(received, Ok(()) | Err(NoteError::Replayed)), "{received:?}");
+                        assert!(matches!(received, Ok(()) | Err(DatagramError::Replayed)), "{received:?}");
                     }
                     Some(SimEvent::Message(to)) => self.waiting[usize::from(to)] += 1,
                     Some(SimEvent::CallEnd(by, result, began)) => {
@@ -401,14 +402,17 @@
         corrupted[byte] ^= 1;
         assert!(coordinator.receive(0, &corrupted).is_err(), "byte {byte} changed");
     }
-    assert_eq!(coordinator.receive(0, &datagram(2, 5, 1, &key(2))), Err(NoteError::Forged));
-    assert_eq!(coordinator.receive(0, &datagram(2, 5, 1, &Keys::default())), Err(NoteError::UnknownKey(0)));
+    assert_eq!(coordinator.receive(0, &datagram(2, 5, 1, &key(2))), Err(DatagramError::Forged));
+    assert_eq!(
+        coordinator.receive(0, &datagram(2, 5, 1, &Keys::default())),
+        Err(DatagramError::UnknownKey(0))
+    );
     assert_eq!(
         coordinator.receive(0, &datagram(RELAYS, 5, 1, &key(1))),
-        Err(NoteError::Stranger),
+        Err(DatagramError::Stranger),
         "from an unknown relay"
     );
-    assert_eq!(coordinator.receive(0, &vec![2; 300]), Err(NoteError::Malformed), "too long");
+    assert_eq!(coordinator.receive(0, &vec![2; 300]), Err(DatagramError::Malformed), "too long");
     assert_eq!(coordinator.poll(0), [], "invalid datagrams have no effect");
     assert_eq!(coordinator.receive(0, &good), Ok(()));
     let out = coordinator.poll(0);
@@ -418,10 +422,10 @@
         matches!(answers[0].items[0], Item::Grant { destination: DESTINATION, total: 1, .. }),
         "{answers:?}"
     );
-    assert_eq!(coordinator.receive(1, &good), Err(NoteError::Replayed));
+    assert_eq!(coordinator.receive(1, &good), Err(DatagramError::Replayed));
     assert_eq!(
         coordinator.receive(1, &datagram(2, 4, 9, &key(1))),
-        Err(NoteError::Replayed),
+        Err(DatagramError::Replayed),
         "from an earlier incarnation"
     );
 }
@@ -470,8 +474,8 @@
         let length = random.below(64) as usize;
         let mut bytes: Vec<u8> = (0..length).map(|_| random.below(256) as u8).collect();
         if n % 2 == 0 {
-            let head = fleet::note::Head { from: 2, incarnation: 1, number: n, sent: Stamp(n) };
-            bytes = fleet::note::seal(&Keys::default(), &head, &[(1, bytes)])
+            let head = fleet::datagram::Header { from: 2, incarnation: 1, number: n, sent: Stamp(n) };
+            bytes = fleet::datagram::seal(&Keys::default(), &head, &[(1, bytes)])
                 .expect("a datagram within the size limit");
         } else if length > 2 {
             (bytes[0], bytes[1]) = (2, 0);
