--- a/crates/scale/src/run/simulation/calls.rs
+++ b/crates/scale/src/run/simulation/calls.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use fleet::Peer;
-use peers::witness::{Seen, Sign as SeenSign};
+use peers::observer::{CallSignal, ObservedCall};
 use permits::coordinator::Report;
 use permits::item::CallResult;
 
@@ -55,13 +55,18 @@
         if !lost {
             machine.work.ended(destination, answer == Answer::Well);
             let (result, seen) = match answer {
-                Answer::Well => (CallResult::Succeeded, SeenSign::Well),
-                Answer::Failed => (CallResult::Failed, SeenSign::Failed),
-                Answer::Refused => (CallResult::Refused, SeenSign::Refused(None)),
+                Answer::Well => (CallResult::Succeeded, CallSignal::Success),
+                Answer::Failed => (CallResult::Failed, CallSignal::Failure),
+                Answer::Refused => (CallResult::Refused, CallSignal::Refused(None)),
             };
             let report = Report { result, began, wait: None, limit: None, remaining: None };
-            let seen =
-                Seen { destination: i64::from(destination), began, ended: now, sign: seen, limit: None };
+            let seen = ObservedCall {
+                destination: i64::from(destination),
+                began,
+                ended: now,
+                signal: seen,
+                limit: None,
+            };
             if let Some(relay) = &mut machine.relay {
                 relay.ended(now, &report, &seen);
             }
--- a/src/fleet/updates.rs
+++ b/src/fleet/updates.rs
@@ -1,12 +1,12 @@
 //! Updates from the runtime to the fleet's task, and the conversion of observations to reports for the rules.
 
-use peers::fact::{Fact, Known};
-use peers::witness::{Seen, Sign as SeenSign};
+use peers::observation::{Observation, Observed};
+use peers::observer::{CallSignal, ObservedCall};
 use permits::WaitingByPriority;
 use permits::coordinator::Report;
 use permits::item::CallResult;
 
-use crate::interface::{DestinationId, Hearsay, Micros, Outcome, Word};
+use crate::interface::{DestinationId, DestinationObservation, Micros, ObservedCondition, Outcome};
 
 /// An update from the runtime.
 #[derive(Debug)]
@@ -26,45 +26,52 @@
         /// The report to the limit coordinator, if any.
         report: Option<Report>,
         /// The outcome, for the observer of the destination's health.
-        seen: Seen,
+        seen: ObservedCall,
     },
 }
 
 /// The update for the end of a call, with the limit report of its endpoint.
 pub fn call_ended(
     destination: i64, outcome: Outcome, (began, ended): (Micros, Micros),
-    limit_report: &crate::interface::Report,
+    limit_report: &crate::interface::LimitReport,
 ) -> FleetUpdate {
     let (observed, result, wait) = match outcome {
-        Outcome::Ok => (SeenSign::Well, Some(CallResult::Succeeded), None),
-        Outcome::Full(wait) => (SeenSign::Refused(wait), Some(CallResult::Refused), wait),
-        Outcome::Crowded => (SeenSign::Nothing, Some(CallResult::OutOfConnections), None),
+        Outcome::Ok => (CallSignal::Success, Some(CallResult::Succeeded), None),
+        Outcome::Full(wait) => (CallSignal::Refused(wait), Some(CallResult::Refused), wait),
+        Outcome::Crowded => (CallSignal::Inconclusive, Some(CallResult::OutOfConnections), None),
         Outcome::Error | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => {
-            (SeenSign::Failed, Some(CallResult::Failed), None)
+            (CallSignal::Failure, Some(CallResult::Failed), None)
         }
-        Outcome::Spoilt | Outcome::Cancelled | Outcome::Skipped => (SeenSign::Nothing, None, None),
+        Outcome::Spoilt | Outcome::Cancelled | Outcome::Skipped => (CallSignal::Inconclusive, None, None),
     };
-    let (limit, remaining) = (limit_report.limit, limit_report.left);
+    let (limit, remaining) = (limit_report.limit, limit_report.remaining_fraction);
     let report = result.map(|result| Report { result, began, wait, limit, remaining });
     FleetUpdate::CallEnded {
         destination,
         report,
-        seen: Seen { destination, began, ended, sign: observed, limit },
+        seen: ObservedCall { destination, began, ended, signal: observed, limit },
     }
 }
 
 /// An observation as a report to the rules. A server-requested wait binds only the relay that received it, a pace and
 /// connections are each relay's own, and a limit arrives with the first answer anyway, while a wrong one would throttle a
 /// partner: these observations are only shown to operators and give `None`.
-pub(super) fn report_of(fact: &Fact) -> Option<Hearsay> {
-    let word = match fact.known {
-        Known::Trouble { since, back: None, .. } => Word::Shut(since),
-        Known::Trouble { back, .. } => Word::Answers(back),
-        Known::Good { .. } => Word::Answers(None),
-        Known::Answer { mean, .. } => Word::Took(mean),
-        Known::Wait { .. } | Known::Pace { .. } | Known::Limit { .. } | Known::Connections { .. } => {
+pub(super) fn report_of(fact: &Observation) -> Option<DestinationObservation> {
+    let word = match fact.observed {
+        Observed::Failing { since, recovering_since: None, .. } => ObservedCondition::Failing(since),
+        Observed::Failing { recovering_since, .. } => ObservedCondition::Answering(recovering_since),
+        Observed::Healthy { .. } => ObservedCondition::Answering(None),
+        Observed::AnswerTime { mean, .. } => ObservedCondition::ResponseTime(mean),
+        Observed::Wait { .. }
+        | Observed::Pace { .. }
+        | Observed::Limit { .. }
+        | Observed::Connections { .. } => {
             return None;
         }
     };
-    Some(Hearsay { destination: DestinationId(fact.destination), at: fact.at, word })
+    Some(DestinationObservation {
+        destination: DestinationId(fact.destination),
+        observed_at: fact.at,
+        condition: word,
+    })
 }
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -20,7 +20,7 @@
 use super::stream::Stream;
 use crate::exchange::Clock;
 use crate::interface::Micros;
-use crate::standing::{ConnectionCounts, Standing, StoreHealth, StoreOutage, VerdictCounts};
+use crate::standing::{ConnectionCounts, DecisionCounts, ProcessStatus, StoreHealth, StoreOutage};
 
 /// Maximum number of concurrent connections. The oldest one is closed for a further one.
 const MAX_CONNECTIONS: usize = 24;
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// If the address cannot be bound.
-pub fn start(address: SocketAddr, standing: Arc<Standing>, clock: Clock) -> std::io::Result<()> {
+pub fn start(address: SocketAddr, standing: Arc<ProcessStatus>, clock: Clock) -> std::io::Result<()> {
     let listener = TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
     info!("operators' door on {}", listener.local_addr()?);
@@ -52,7 +52,7 @@
     Ok(())
 }
 
-async fn serve(listener: TcpListener, standing: Arc<Standing>, clock: Clock) -> std::io::Result<()> {
+async fn serve(listener: TcpListener, standing: Arc<ProcessStatus>, clock: Clock) -> std::io::Result<()> {
     let listener = tokio::net::TcpListener::from_std(listener)?;
     let budget = MemoryBudget::new(MAX_CONNECTIONS * MAX_BODY_BYTES);
     let mut connections = JoinSet::new();
@@ -99,7 +99,9 @@
 }
 
 /// Serves one request and closes the connection.
-async fn serve_request(stream: TcpStream, standing: Arc<Standing>, clock: Clock, budget: Arc<MemoryBudget>) {
+async fn serve_request(
+    stream: TcpStream, standing: Arc<ProcessStatus>, clock: Clock, budget: Arc<MemoryBudget>,
+) {
     let _ = stream.set_nodelay(true);
     let mut framed = Framed::new(Stream::new(stream), Codec::server(MAX_BODY_BYTES, budget));
     let by = clock.instant(clock.now() + REQUEST_TIMEOUT);
@@ -134,16 +136,16 @@
 
 /// Returns the counters of the connections to endpoints.
 fn connection_counts(counts: &ConnectionCounts) -> Value {
-    let ConnectionCounts { opened, surplus, doubtful, withheld, verdicts } = counts;
+    let ConnectionCounts { opened, unsolicited, ambiguous, not_reused, decisions } = counts;
     let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
-    let VerdictCounts { delivered, over, may_have_ended, spent, owed } = verdicts;
-    json!({"opened": read(opened), "surplus": read(surplus), "doubtful": read(doubtful), "withheld": read(withheld),
-        "verdicts": {"delivered": read(delivered), "over": read(over), "may_have_ended": read(may_have_ended),
-            "spent": read(spent), "owed": read(owed)}})
+    let DecisionCounts { delivered, ended_elsewhere, may_have_ended, exhausted, owed } = decisions;
+    json!({"opened": read(opened), "surplus": read(unsolicited), "doubtful": read(ambiguous), "withheld": read(not_reused),
+        "verdicts": {"delivered": read(delivered), "over": read(ended_elsewhere), "may_have_ended": read(may_have_ended),
+            "spent": read(exhausted), "owed": read(owed)}})
 }
 
 /// Returns the response to a request.
-fn respond(request: &Message, standing: &Standing) -> Message {
+fn respond(request: &Message, standing: &ProcessStatus) -> Message {
     let Start::Request(method, path) = &request.start else { return Message::response(400, "no request") };
     let path = path.split('?').next().unwrap_or_default();
     let (needed, order) = match path {
@@ -155,20 +157,20 @@
     if method != needed {
         return Message::response(405, format!("{path} takes {needed}\n")).with("Allow", needed);
     }
-    let status = match order.map(|standby| standing.order(standby)) {
+    let status = match order.map(|standby| standing.set_standby(standby)) {
         Some(Ok(())) => 200,
         Some(Err(_)) => 409,
         None if standing.ready() => 200,
         None => 503,
     };
     let (held, out) = standing.counts();
-    let mut body = json!({"state": standing.word(), "ready": standing.ready(), "held": held, "out": out,
+    let mut body = json!({"state": standing.state_name(), "ready": standing.ready(), "held": held, "out": out,
         "since": standing.since() as f64 / 1e6});
     if let Some(fields) = body.as_object_mut() {
         fields.insert("store".into(), store_status(&standing.store()));
         fields.insert("connections".into(), connection_counts(standing.connections()));
     }
-    let why = standing.why();
+    let why = standing.waiting_reason();
     if !why.is_empty()
         && let Some(fields) = body.as_object_mut()
     {
@@ -184,7 +186,7 @@
 
     #[test]
     fn the_response_depends_on_method_path_and_state() {
-        let standing = Standing::starting(Clock::start());
+        let standing = ProcessStatus::starting(Clock::start());
         let request = |method: &str, path: &str| {
             let response = respond(&Message::request(method, path), &standing);
             let Start::Response(status) = response.start else { panic!("a response") };
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -98,8 +98,8 @@
 /// Returns the effect of a retry of a message with this effect.
 fn repeat(effect: Effect) -> Repeat {
     match effect {
-        Effect::Safe => Repeat::Harmless,
-        Effect::Keyed { .. } | Effect::Unsafe => Repeat::Harmful,
+        Effect::Idempotent => Repeat::Harmless,
+        Effect::Keyed { .. } | Effect::NonIdempotent => Repeat::Harmful,
     }
 }
 
@@ -114,7 +114,7 @@
     ) {
         let now = self.clock.now();
         self.policy().surplus(key, now);
-        ConnectionCounts::add(&self.counts.surplus);
+        ConnectionCounts::add(&self.counts.unsolicited);
         let (endpoint, number, calls) = (&*key.0, connection.number, connection.calls);
         let Surplus { bytes, status } = surplus;
         let mut warn_at = self.warn_at.lock().unwrap_or_else(PoisonError::into_inner);
@@ -281,7 +281,7 @@
         progress.heard.after = after.ok().and_then(Result::ok).unwrap_or(After::Ended);
         progress.heard.suspect = self.suspects(&key);
         if progress.heard.after == After::Surplus {
-            ConnectionCounts::add(&self.monitor.counts.doubtful);
+            ConnectionCounts::add(&self.monitor.counts.ambiguous);
         }
         answer
     }
@@ -357,7 +357,7 @@
         let watched_until =
             call.map_or(Micros::MAX, |call| call.deadline.saturating_add(WATCH_PAST_DEADLINE));
         let (key, at) = (key.clone(), self.clock.now());
-        let repeat = repeat(call.map_or(Effect::Safe, |call| call.effect));
+        let repeat = repeat(call.map_or(Effect::Idempotent, |call| call.effect));
         Ok(ReceivedAnswer { key, connection, repeat, sent, at, answer, watched_until })
     }
 
@@ -430,7 +430,7 @@
             let withheld = self.monitor.policy().withholds(key, now);
             let taken = self.pool().take(key, now)?;
             if withheld {
-                ConnectionCounts::add(&self.monitor.counts.withheld);
+                ConnectionCounts::add(&self.monitor.counts.not_reused);
                 return None;
             }
             let Some((connection, since)) = taken.connection().await else { continue };
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -15,10 +15,10 @@
 use super::stream::Stream;
 use tracing::{debug, info, warn};
 
-use crate::draw;
 use crate::exchange::{Clock, Member, Notice};
 use crate::input::Input;
-use crate::interface::{ListForm, Listed, Micros};
+use crate::interface::{ListUpdate, Micros, ServiceState};
+use crate::jitter;
 use crate::wire::RawEntry;
 
 /// Maximum size of a list.
@@ -71,7 +71,7 @@
     /// Returns the pause before the first request: relays of one release start together. It is at most half the grace, whatever
     /// their number; otherwise an endpoint that drains meanwhile would be called after its grace.
     pub fn initial_delay(&self) -> Micros {
-        let fraction = if self.resumes { 0.0 } else { draw::unit(self.seed) };
+        let fraction = if self.resumes { 0.0 } else { jitter::uniform(self.seed) };
         let spread = Micros::from(self.relays.saturating_sub(1)) * REQUEST_INTERVAL;
         (fraction * spread.min(self.grace / 2) as f64) as Micros
     }
@@ -88,7 +88,7 @@
             f64::from(self.relays.max(2) << self.failures.min(MAX_DOUBLINGS)) * REQUEST_INTERVAL as f64;
         self.failures += 1;
         self.seed = self.seed.wrapping_add(u64::from(self.failures));
-        (usual.min(limit.max(0) as f64 / 1.5) * (0.5 + draw::unit(self.seed))) as Micros
+        (usual.min(limit.max(0) as f64 / 1.5) * (0.5 + jitter::uniform(self.seed))) as Micros
     }
 }
 
@@ -128,9 +128,9 @@
 fn parse_member(value: &Value) -> Result<Member, String> {
     let text = |key: &str| value.get(key).and_then(Value::as_str).ok_or(format!("{key} is not a text"));
     let listed = match text("phase")? {
-        "Ready" => Listed::InService,
-        "Terminating" => Listed::Draining,
-        "Gone" => Listed::Gone,
+        "Ready" => ServiceState::InService,
+        "Terminating" => ServiceState::Draining,
+        "Gone" => ServiceState::Removed,
         other => return Err(format!("phase is {other:?}, expected Ready, Terminating or Gone")),
     };
     let cell = value.get("cell").and_then(Value::as_i64).ok_or("cell is not a whole number")?;
@@ -223,7 +223,7 @@
                     continue;
                 }
                 revision = list.revision;
-                let form = if list.complete { ListForm::All } else { ListForm::Changes };
+                let form = if list.complete { ListUpdate::Full } else { ListUpdate::Changes };
                 if (list.complete || !list.members.is_empty())
                     && inputs.send(Input::Listed(form, list.members)).await.is_err()
                 {
--- a/src/net/inbound.rs
+++ b/src/net/inbound.rs
@@ -19,11 +19,11 @@
 use super::http::{Codec, HttpError, IDEMPOTENCY_KEY, MAX_BODY_BYTES, MemoryBudget, Message, Start};
 use super::is_quiet;
 use super::stream::Stream;
-use crate::draw;
 use crate::exchange::{Answer, Clock, Exchange, IdempotencyKey, IdempotencyKeyError};
 use crate::input::Input;
 use crate::interface::{Class, Effect, Micros};
-use crate::standing::{Leaving, Standing};
+use crate::jitter;
+use crate::standing::{DrainMode, ProcessStatus};
 
 const UNKNOWN_CLASS: &str = "unknown class";
 /// Maximum length of a message id, in bytes.
@@ -109,7 +109,7 @@
     /// Number of open connections.
     pub connections: AtomicUsize,
     /// State of the process: whether it is ready, and whether connections have to close.
-    pub standing: Arc<Standing>,
+    pub standing: Arc<ProcessStatus>,
 }
 
 /// State of a connection.
@@ -291,16 +291,16 @@
         InboundProtocol::Platform(_) => (MAX_BODY_BYTES, REQUEST_TIMEOUT),
     };
     let mut framed = Framed::new(Stream::new(stream), Codec::server(max_body, inbound.budget.clone()));
-    let mut leaving = inbound.standing.leaving();
+    let mut leaving = inbound.standing.drain_mode();
     let accepted = clock.now();
     // Connections close at different times, so that their clients do not all move to other relays at once.
-    let close_at = |leaving: Leaving| match leaving {
-        Leaving::Since(at) => {
-            let fraction = draw::unit(registration.number as u64 ^ at.unsigned_abs());
+    let close_at = |leaving: DrainMode| match leaving {
+        DrainMode::Since(at) => {
+            let fraction = jitter::uniform(registration.number as u64 ^ at.unsigned_abs());
             let by = at + DRAIN_DELAY + (fraction * DRAIN_SPREAD as f64) as Micros;
             if accepted < at { by } else { by.max(accepted + DRAIN_NEW_CONNECTION) }
         }
-        Leaving::No | Leaving::Stop => Micros::MAX,
+        DrainMode::Off | DrainMode::Stop => Micros::MAX,
     };
     // The time limit of the first request starts with the connection, that of a later one with its first byte.
     let mut first_by = Some(clock.now() + timeout);
@@ -358,7 +358,7 @@
                 (response, accepted_id)
             }
         };
-        response.keep_alive &= *leaving.borrow_and_update() == Leaving::No;
+        response.keep_alive &= *leaving.borrow_and_update() == DrainMode::Off;
         let until = clock.instant(clock.now() + RESPONSE_TIMEOUT);
         let mut nothing_sent = true;
         let sent =
@@ -447,7 +447,7 @@
     match (method.as_str(), path) {
         ("GET", "/health/live") => (Message::response(200, "live"), None),
         ("GET", "/health/ready") if inbound.standing.relay_ready() => (Message::response(200, "ready"), None),
-        ("GET", "/health/ready") => (Message::response(503, inbound.standing.word()), None),
+        ("GET", "/health/ready") => (Message::response(503, inbound.standing.state_name()), None),
         ("POST", _) => match &inbound.protocol {
             InboundProtocol::Platform(names) => {
                 let exchange = parse_message(&request, path, inbound.clock.now(), &names.borrow());
--- a/src/net/outbound.rs
+++ b/src/net/outbound.rs
@@ -15,7 +15,7 @@
 use super::send_guard::SendGuard;
 use crate::exchange::{Answered, CallEnd, Clock, Exchange, OutboundCall};
 use crate::input::Input;
-use crate::interface::{Micros, Outcome, Report, TargetId};
+use crate::interface::{LimitReport, Micros, Outcome, TargetId};
 use crate::runtime::Caller;
 
 /// Maximum plausible figure in a limit report.
@@ -53,9 +53,9 @@
         if let Some(wait) = progress.wait {
             self.connections.send_guard().hold_path(call.lane, self.clock.now() + wait);
         }
-        let report = Report { wait: progress.wait, ..report };
+        let report = LimitReport { requested_wait: progress.wait, ..report };
         let (id, attempt, target) = (call.exchange.id.clone(), call.attempt, call.target);
-        self.connections.counts().judged(verdict);
+        self.connections.counts().count_decision(verdict);
         debug!(
             message = id,
             attempt,
@@ -69,7 +69,7 @@
             connection = progress.connection,
             calls_before = progress.calls_before,
             rested = progress.idle_for,
-            left = report.left,
+            left = report.remaining_fraction,
             limit = report.limit,
             "attempt ended"
         );
@@ -96,7 +96,7 @@
             _ if !progress.heard.written => Outcome::ConnectFailed,
             outcome => outcome,
         };
-        Ended { outcome, verdict: outcome.verdict(), report: Report::default(), progress }
+        Ended { outcome, verdict: outcome.verdict(), report: LimitReport::default(), progress }
     }
 
     async fn attempt(&self, call: &OutboundCall, began: Micros, cancelled: oneshot::Receiver<()>) -> Ended {
@@ -161,7 +161,7 @@
 struct Ended {
     outcome: Outcome,
     verdict: Verdict,
-    report: Report,
+    report: LimitReport,
     progress: Progress,
 }
 
@@ -177,14 +177,14 @@
             _ if !progress.heard.written => Outcome::ConnectFailed,
             (outcome, Verdict::Owed { .. }) => outcome,
         };
-        Ended { outcome, verdict, report: Report::default(), progress }
+        Ended { outcome, verdict, report: LimitReport::default(), progress }
     }
 
     /// Returns the end of a call by its answer, which arrived `age` microseconds ago.
     fn by_answer(answer: &Message, age: Micros, progress: Progress) -> Self {
         let verdict = progress.heard.verdict();
         if progress.heard.after == After::Surplus || verdict == Verdict::MayHaveEnded {
-            return Ended { outcome: Outcome::Spoilt, verdict, report: Report::default(), progress };
+            return Ended { outcome: Outcome::Spoilt, verdict, report: LimitReport::default(), progress };
         }
         let outcome = outcome_of(answer, progress.new_connection, age);
         Ended { outcome, verdict, report: limit_report(answer), progress }
@@ -206,7 +206,7 @@
         self.connections.send_guard()
     }
 
-    fn expected(&self, exchange: &Exchange) -> Option<Expected> {
+    fn expected_receipt(&self, exchange: &Exchange) -> Option<Expected> {
         self.partners.as_ref()?.expected_receipt(exchange)
     }
 }
@@ -229,19 +229,19 @@
 }
 
 /// Returns the limit report of an answer.
-fn limit_report(answer: &Message) -> Report {
+fn limit_report(answer: &Message) -> LimitReport {
     parse_limit_report(answer.header("X-Backend-Load").unwrap_or_default())
 }
 
 /// Parses a limit report. A report that is invalid in any part is ignored.
-fn parse_limit_report(text: &str) -> Report {
+fn parse_limit_report(text: &str) -> LimitReport {
     let parse = |text: &str| {
-        let mut report = Report::default();
+        let mut report = LimitReport::default();
         for pair in text.split(',') {
             let (name, value) = pair.trim().split_once('=')?;
             let value = value.parse::<f64>().ok().filter(|value| (0.0..=MAX_REPORTED).contains(value))?;
             match name {
-                "x0" => report.left = Some(value),
+                "x0" => report.remaining_fraction = Some(value),
                 "x1" => report.limit = Some(value),
                 _ => {}
             }
@@ -258,11 +258,11 @@
     #[test]
     fn an_invalid_limit_report_is_ignored() {
         let valid = parse_limit_report("x0=0.4, x1=25");
-        assert_eq!((valid.left, valid.limit), (Some(0.4), Some(25.0)));
+        assert_eq!((valid.remaining_fraction, valid.limit), (Some(0.4), Some(25.0)));
         for text in
             ["", "x1", "x1=", "x1=many", "x1=NaN", "x1=-4", "x1=inf", "x1=1e300", "x0=0.4,x1=25,x1=?", "=,="]
         {
-            assert_eq!(parse_limit_report(text), Report::default(), "{text:?}");
+            assert_eq!(parse_limit_report(text), LimitReport::default(), "{text:?}");
         }
     }
 
