--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -392,8 +392,8 @@
         Ok(connection)
     }
 
-    /// Makes a connection. A failure of this machine's own is tried again; where it lasts, nothing was sent and nothing
-    /// learned of the other side.
+    /// Opens a TCP connection. Connecting is retried after a local error; if that lasts, the call counts as not sent, which says
+    /// nothing about the peer.
     async fn connect(&self, address: &str) -> Result<Stream, Outcome> {
         let by = self.clock.now() + self.connect_timeout;
         let mut interval = LOCAL_RETRY_INTERVAL;
