--- a/crates/repeats/src/item.rs
+++ b/crates/repeats/src/item.rs
@@ -1,7 +1,7 @@
 //! Wire format of the retry budget: items in a frame of the peer link. Decoding must not panic on any input.
 
 use overload::waits::{MAX_LEVELS, PriorityWait};
-use permits::Tiers;
+use permits::WaitingByPriority;
 use serde::{Deserialize, Serialize};
 
 /// Number of the retry budget's channel on the peer link.
@@ -23,7 +23,7 @@
         received: u32,
         /// Waiting retries by priority.
         #[serde(rename = "tiers")]
-        waiting: Tiers,
+        waiting: WaitingByPriority,
     },
     /// Tokens transferred to one incarnation of the receiver.
     #[serde(rename = "Gift")]
@@ -94,9 +94,9 @@
     }
 
     proptest! {
-        #[test]
-        fn no_frame_panics_or_yields_more_than_it_holds(bytes in prop::collection::vec(any::<u8>(), 0..250)) {
-            prop_assert!(decode(&bytes).0.len() <= bytes.len());
-        }
+    #[test]
+    fn no_frame_panics_or_yields_more_than_it_holds(bytes in prop::collection::vec(any::<u8>(), 0..250)) {
+    prop_assert!(decode(&bytes).0.len() <= bytes.len());
+    }
     }
 }
--- a/crates/repeats/src/node.rs
+++ b/crates/repeats/src/node.rs
@@ -12,7 +12,7 @@
 use fleet::nearest;
 use overload::backlog::Backlog;
 use overload::waits::MinimumWaits;
-use permits::{Tiers, take, waiting};
+use permits::{WaitingByPriority, take_highest, total_waiting};
 
 use crate::budget::{
     Counts, FLOOR_UNITS_PER_SECOND, Incarnation, RetryBudget, TOKEN_LIFETIME, UNITS_PER_TOKEN,
@@ -73,7 +73,7 @@
 struct PeerRequest {
     incarnation: u32,
     /// Waiting retries by priority.
-    waiting: Tiers,
+    waiting: WaitingByPriority,
     received_at: Micros,
     waiting_since: Micros,
     /// Time of the last grant.
@@ -106,7 +106,7 @@
     /// Maximum number of tokens accepted in one transfer.
     max_transfer: u32,
     /// Retries that wait at this relay.
-    waiting: Tiers,
+    waiting: WaitingByPriority,
     waiting_since: Micros,
     unanswered: Option<UnansweredRequest>,
     next_request_at: Micros,
@@ -124,7 +124,7 @@
         DestinationState {
             budget: RetryBudget::new(now),
             max_transfer: DEFAULT_MAX_TRANSFER,
-            waiting: Tiers::new(),
+            waiting: WaitingByPriority::new(),
             waiting_since: now,
             unanswered: None,
             next_request_at: Micros::MIN,
@@ -253,7 +253,7 @@
     }
 
     /// Sets the retries that wait at this relay, beyond those that may start.
-    pub fn request(&mut self, now: Micros, destination: i64, mut waiting: Tiers) {
+    pub fn request(&mut self, now: Micros, destination: i64, mut waiting: WaitingByPriority) {
         waiting.truncate(MAX_PRIORITY_LEVELS);
         if let Some(state) = self.state(now, destination) {
             if state.waiting.is_empty() {
@@ -283,8 +283,8 @@
             tokens: state.budget.tokens(),
             counts: state.budget.counts(),
             waiting: [
-                waiting(&state.waiting),
-                state.requests.values().map(|request| waiting(&request.waiting)).sum(),
+                total_waiting(&state.waiting),
+                state.requests.values().map(|request| total_waiting(&request.waiting)).sum(),
             ],
         };
         self.destinations.iter().map(status).collect()
@@ -308,7 +308,7 @@
         let Some(state) = self.destinations.get_mut(&destination) else { return };
         let mut spent = 0;
         while spent < max && !state.waiting.is_empty() && state.budget.spend(1) {
-            take(&mut state.waiting);
+            take_highest(&mut state.waiting);
             spent += 1;
         }
         if spent > 0 {
@@ -423,11 +423,11 @@
             state.backlog.record_start(now, peer);
             if peer == me {
                 state.budget.spend(1);
-                take(&mut state.waiting);
+                take_highest(&mut state.waiting);
                 state.waiting_since = now;
                 own += 1;
             } else if let Some(request) = state.requests.get_mut(&peer) {
-                take(&mut request.waiting);
+                take_highest(&mut request.waiting);
                 if state.budget.give((peer, request.incarnation), 1).is_none() {
                     break;
                 }
@@ -459,7 +459,7 @@
                 let requests = state.requests.entry(from.peer);
                 let new = PeerRequest {
                     incarnation: sender.1,
-                    waiting: Tiers::new(),
+                    waiting: WaitingByPriority::new(),
                     received_at: now,
                     waiting_since: now,
                     granted_at: 0,
@@ -474,7 +474,7 @@
                 (request.incarnation, request.waiting, request.received_at) = (sender.1, waiting, now);
                 // Tokens that are still in transit serve part of the request.
                 if now - request.granted_at < TRANSIT_TIME {
-                    (0..total.saturating_sub(received)).for_each(|_| take(&mut request.waiting));
+                    (0..total.saturating_sub(received)).for_each(|_| take_highest(&mut request.waiting));
                 }
                 let waiting = request.waiting.clone();
                 state.backlog.update(now, from.peer, &waiting);
--- a/crates/repeats/src/tokens.rs
+++ b/crates/repeats/src/tokens.rs
@@ -3,7 +3,7 @@
 //! Invariant: no more retries start than tokens were granted.
 
 use overload::waits::MinimumWaits;
-use permits::Tiers;
+use permits::WaitingByPriority;
 use serde::{Deserialize, Serialize};
 
 use crate::{Micros, SECOND};
@@ -23,7 +23,7 @@
     waits: (MinimumWaits, Micros),
     /// Waiting retries as last requested. Not handed over: another process requests again.
     #[serde(skip)]
-    requested: Tiers,
+    requested: WaitingByPriority,
 }
 
 impl RetryTokens {
@@ -48,7 +48,7 @@
     }
 
     /// Sets the retries that wait beyond those that may start. Returns whether they changed, so that they are to be requested.
-    pub fn request(&mut self, waiting: &Tiers) -> bool {
+    pub fn request(&mut self, waiting: &WaitingByPriority) -> bool {
         let changed = self.requested != *waiting;
         if changed {
             self.requested.clone_from(waiting);
--- a/crates/scale/src/run/simulation/calls.rs
+++ b/crates/scale/src/run/simulation/calls.rs
@@ -4,8 +4,8 @@
 
 use fleet::Peer;
 use peers::observer::{CallSignal, ObservedCall};
-use permits::note::Sign;
-use permits::steward::Report;
+use permits::coordinator::Report;
+use permits::item::CallResult;
 
 use super::{Event, Simulation};
 use crate::destinations::Answer;
@@ -54,12 +54,12 @@
         let lost = machine.life != life || machine.relay.is_none();
         if !lost {
             machine.work.ended(destination, answer == Answer::Well);
-            let (sign, seen) = match answer {
-                Answer::Well => (Sign::Well, CallSignal::Success),
-                Answer::Failed => (Sign::Failed, CallSignal::Failure),
-                Answer::Refused => (Sign::Refused, CallSignal::Refused(None)),
+            let (result, seen) = match answer {
+                Answer::Well => (CallResult::Succeeded, CallSignal::Success),
+                Answer::Failed => (CallResult::Failed, CallSignal::Failure),
+                Answer::Refused => (CallResult::Refused, CallSignal::Refused(None)),
             };
-            let report = Report { sign, began, wait: None, limit: None, left: None };
+            let report = Report { result, began, wait: None, limit: None, remaining: None };
             let seen = ObservedCall {
                 destination: i64::from(destination),
                 began,
--- a/src/as2.rs
+++ b/src/as2.rs
@@ -24,13 +24,13 @@
 use crate::exchange::{Answer, Clock, Exchange, OutboundCall, Receipt};
 use crate::input::Input;
 use crate::interface::{Micros, Outcome};
-use crate::net::connections::{Connections, full};
-use crate::net::http::{MOST_BODY, Message, Start};
+use crate::net::connections::{Connections, retry_after};
+use crate::net::http::{MAX_BODY_BYTES, Message, Start};
 use crate::net::progress::Progress;
-use crate::net::{Doing, Protocol};
+use crate::net::{BoxFuture, PartnerProtocol};
 
 /// Maximum size of an AS2 message in bytes: body, signature and MIME structure.
-const MAX_MESSAGE_BYTES: usize = 4 * MOST_BODY;
+const MAX_MESSAGE_BYTES: usize = 4 * MAX_BODY_BYTES;
 /// Maximum number of receipts kept in memory, which takes about 80 MB.
 const MAX_RECEIPTS: usize = 32_768;
 /// Attempts to post an asynchronous receipt. If all fail, it is posted again when the partner resends its message.
@@ -304,15 +304,15 @@
 ) -> Result<Vec<u8>, ErrorStack> {
     let boundary = boundary("report", original.as_bytes())?;
     Ok(format!(
-        "Content-Type: multipart/report; report-type=disposition-notification; boundary=\"{boundary}\"\r\n\r\n\
+"Content-Type: multipart/report; report-type=disposition-notification; boundary=\"{boundary}\"\r\n\r\n\
          --{boundary}\r\nContent-Type: text/plain\r\n\r\nThe message {original}: {disposition}.\r\n\
          --{boundary}\r\nContent-Type: message/disposition-notification\r\n\r\n\
          Reporting-UA: tulipfall\r\nOriginal-Recipient: rfc822; {by}\r\nFinal-Recipient: rfc822; {by}\r\n\
          Original-Message-ID: {original}\r\n\
          Disposition: automatic-action/MDN-sent-automatically; {disposition}\r\n\
          Received-Content-MIC: {mic}, sha-256\r\n\r\n--{boundary}--\r\n"
-    )
-    .into_bytes())
+)
+.into_bytes())
 }
 
 /// Adds the AS2 headers that identify both sides and the message.
@@ -330,21 +330,21 @@
     message.header(header).unwrap_or_default().trim_matches('"').to_string()
 }
 
-impl Protocol for As2 {
-    fn most_message(&self) -> usize {
+impl PartnerProtocol for As2 {
+    fn max_message_bytes(&self) -> usize {
         MAX_MESSAGE_BYTES
     }
 
     /// Answers a request, which is a submitted message or an asynchronous receipt.
-    fn answer<'a>(&'a self, request: &'a Message) -> Doing<'a, Message> {
+    fn respond<'a>(&'a self, request: &'a Message) -> BoxFuture<'a, Message> {
         Box::pin(self.respond(request))
     }
 
-    fn serves(&self, destination: i64) -> bool {
+    fn serves_destination(&self, destination: i64) -> bool {
         self.partner_for(destination).is_some()
     }
 
-    fn attempt<'a>(&'a self, call: &'a OutboundCall, progress: &'a mut Progress) -> Doing<'a, Outcome> {
+    fn attempt<'a>(&'a self, call: &'a OutboundCall, progress: &'a mut Progress) -> BoxFuture<'a, Outcome> {
         Box::pin(async move {
             match self.partner_for(call.exchange.destination) {
                 Some(partner) => self.send(call, partner, progress).await,
@@ -354,7 +354,7 @@
     }
 
     /// The receipt that proves delivery of a message, if its destination belongs to a partner.
-    fn expected(&self, exchange: &Exchange) -> Option<Expected> {
+    fn expected_receipt(&self, exchange: &Exchange) -> Option<Expected> {
         let partner = self.partner_for(exchange.destination)?.name.clone();
         Some(Expected { partner, mic: sha256(&mime_part(&exchange.body)).ok()? })
     }
@@ -396,7 +396,7 @@
         let pending = partner.asynchronous.then(|| self.register_pending(partner, &id, &mic));
         let answer = match self
             .connections
-            .ask(&(call.address.clone(), Some(call.target)), Some(call), || request, progress)
+            .call_and_settle(&(call.address.clone(), Some(call.target)), Some(call), || request, progress)
             .await
         {
             Ok(answer) => answer,
@@ -404,7 +404,7 @@
         };
         match answer.start {
             Start::Response(200..=299) => {}
-            Start::Response(429 | 503) => return Outcome::Full(full(&answer)),
+            Start::Response(429 | 503) => return Outcome::Full(retry_after(&answer)),
             _ => return Outcome::Error,
         }
         if let Some(mut pending) = pending {
@@ -572,8 +572,8 @@
     ) -> Result<Result<Receipt, Message>, As2Error> {
         let mail = mailparse::parse_mail(part).map_err(|_| As2Error::Malformed("content"))?;
         let body = mail.get_body_raw().map_err(|_| As2Error::Malformed("content encoding"))?;
-        if body.len() > MOST_BODY {
-            return Ok(Err(Message::response(413, format!("the content is over {MOST_BODY} bytes"))));
+        if body.len() > MAX_BODY_BYTES {
+            return Ok(Err(Message::response(413, format!("the content is over {MAX_BODY_BYTES} bytes"))));
         }
         let now = self.clock.now();
         let report = disposition_report(&self.identity.name, id, &sha256(part)?, "processed")?;
@@ -630,7 +630,7 @@
             for _ in 0..RECEIPT_POST_ATTEMPTS {
                 let by = clock.instant(clock.now() + RECEIPT_POST_TIMEOUT_US);
                 let mut progress = Progress::default();
-                let asked = connections.ask(&place, None, || post.clone(), &mut progress);
+                let asked = connections.call_and_settle(&place, None, || post.clone(), &mut progress);
                 let asked = tokio::time::timeout_at(by, asked).await;
                 if matches!(asked, Ok(Ok(answer)) if matches!(answer.start, Start::Response(200..=299))) {
                     return;
--- a/src/command/opening.rs
+++ b/src/command/opening.rs
@@ -57,8 +57,8 @@
     /// Waits for one of the signals.
     pub async fn stop(&mut self) {
         tokio::select! {
-            _ = self.terminate.recv() => {}
-            _ = self.interrupt.recv() => {}
+        _ = self.terminate.recv() => {}
+        _ = self.interrupt.recv() => {}
         }
     }
 }
@@ -147,5 +147,5 @@
     let _ = tokio::time::timeout_at(by, refuse).await;
     // Dropping the remaining inputs refuses their requests.
     drop(inputs);
-    front.answered(clock.now() + ANSWER_PERIOD_US).await;
+    front.wait_answered(clock.now() + ANSWER_PERIOD_US).await;
 }
--- a/src/command/run.rs
+++ b/src/command/run.rs
@@ -24,10 +24,10 @@
 use tulipfall::input::Input;
 use tulipfall::interface::Micros;
 use tulipfall::net::connections::Connections;
-use tulipfall::net::http::Budget;
-use tulipfall::net::inbound::{Front, Inbound, Vocabulary, serve};
+use tulipfall::net::http::MemoryBudget;
+use tulipfall::net::inbound::{Inbound, InboundProtocol, KnownNames, serve};
 use tulipfall::net::outbound::Outbound;
-use tulipfall::net::{Protocol, discovery, door};
+use tulipfall::net::{PartnerProtocol, admin, discovery};
 use tulipfall::recording::{self, Outbox};
 use tulipfall::retry::{RetryBackoff, retry_transient, retry_transient_blocking};
 use tulipfall::rules::Relay;
@@ -66,8 +66,8 @@
     let mut hangup = signal(SignalKind::hangup())?;
     let before_clock = ProcessStatus::starting(Clock::start());
     let (clock, anchor) = tokio::select! {
-        clock = opening::clock(&config.state, &config.name, &before_clock) => clock?,
-        () = signals.stop() => return Ok(()),
+    clock = opening::clock(&config.state, &config.name, &before_clock) => clock?,
+    () = signals.stop() => return Ok(()),
     };
     let (inputs, received) = mpsc::channel(INPUT_CAPACITY);
     let (notices, owed) = mpsc::unbounded_channel();
@@ -75,24 +75,24 @@
     // Opened before the replay, so that operators can see that the process is starting.
     if let Some(ops) = config.ops {
         tokio::select! {
-            opened = retry_transient("ops", &status, async || door::open(ops, status.clone(), clock)) => {
-                opened.map_err(|error| format!("ops {ops}: {error}"))?;
-            }
-            () = signals.stop() => return Ok(()),
+        opened = retry_transient("ops", &status, async || admin::start(ops, status.clone(), clock)) => {
+        opened.map_err(|error| format!("ops {ops}: {error}"))?;
+        }
+        () = signals.stop() => return Ok(()),
         }
     }
-    let budget = Budget::new(config.limits.memory / READING_MEMORY_DIVISOR);
-    let front = |front| {
+    let budget = MemoryBudget::new(config.limits.memory / READING_MEMORY_DIVISOR);
+    let front = |protocol| {
         let (inputs, status) = (inputs.clone(), status.clone());
-        let (reading, busy, guests) = Default::default();
+        let (reading, busy, connections) = Default::default();
         Arc::new(Inbound {
             clock,
-            front,
+            protocol,
             inputs,
             budget: budget.clone(),
             reading,
             busy,
-            guests,
+            connections,
             standing: status,
         })
     };
@@ -101,7 +101,7 @@
     // So calls and the agent always have descriptors, however many clients are connected.
     let max_partners = config.limits.sockets / 8;
     let partners = if config.as2.is_some() { max_partners } else { 0 };
-    let ops = config.ops.map_or(0, |_| door::DESCRIPTORS);
+    let ops = config.ops.map_or(0, |_| admin::MAX_DESCRIPTORS);
     let descriptors = config.limits.sockets.saturating_sub(partners + RESERVED_DESCRIPTORS + ops).max(2);
     config.settings.slots = config.settings.slots.min(u32::try_from(descriptors / 2).unwrap_or(u32::MAX));
     let descriptors = descriptors - config.settings.slots as usize;
@@ -111,38 +111,38 @@
 
     let (ended, mut ends) = mpsc::unbounded_channel();
     let vocabulary =
-        Vocabulary::new(config.names.classes(), &config.settings.classes, config.names.tenants());
+        KnownNames::new(config.names.classes(), &config.settings.classes, config.names.tenants());
     let (naming, named) = watch::channel(vocabulary);
-    let platform = front(Front::Platform(named));
+    let platform = front(InboundProtocol::Platform(named));
     let mut serving = None;
     let mut inherited = config.accept.as_deref().map(|fd| adopt(fd, config.listen)).transpose()?;
     // Bound before the replay, so that clients wait instead of being refused. An inherited socket may still be served by
     // another process.
     if inherited.is_none() {
         let listener = tokio::select! {
-            listener = listen(config.listen, &status) => listener?,
-            () = signals.stop() => return Ok(()),
+        listener = listen(config.listen, &status) => listener?,
+        () = signals.stop() => return Ok(()),
         };
         let front = serve(listener, platform.clone(), clients.clone());
         serving = Some(tokio::spawn(watched("clients' connections", &ended, front)));
     }
     let opened = tokio::select! {
-        opened = open_state(&config, inherited.is_some(), (clock, anchor.as_ref()), &status) => opened?,
-        () = signals.stop() => {
-            end_unserved(clock, &status, received, platform).await;
-            return Ok(());
-        }
+    opened = open_state(&config, inherited.is_some(), (clock, anchor.as_ref()), &status) => opened?,
+    () = signals.stop() => {
+    end_unserved(clock, &status, received, platform).await;
+    return Ok(());
+    }
     };
     let OpenState { owner, mut journal, handed_over } = opened;
     let recorded = match &config.record {
         Some(record) => {
             let (name, state, seed) = (&config.name, &config.state, clock.now().unsigned_abs());
             tokio::select! {
-                started = recording::start(record, name, state, seed, clock, &status, &mut journal) => Some(started?),
-                () = signals.stop() => {
-                    end_unserved(clock, &status, received, platform).await;
-                    return Ok(());
-                }
+            started = recording::start(record, name, state, seed, clock, &status, &mut journal) => Some(started?),
+            () = signals.stop() => {
+            end_unserved(clock, &status, received, platform).await;
+            return Ok(());
+            }
             }
         }
         None => None,
@@ -150,13 +150,13 @@
     let replay = journal.replay();
     let settings = &config.settings;
     let connections = Connections::new(clock, settings.connect_timeout, settings.idle_timeout, max_idle)
-        .counted_by(status.connections().clone());
+        .with_counts(status.connections().clone());
     let as2 = config.as2.take().map(|as2| {
         let receipts = replay.receipts.clone();
         let front = As2::new(as2.identity, clock, inputs.clone(), connections.clone(), receipts);
         (as2.listen, Arc::new(front))
     });
-    let partners = as2.as_ref().map(|(_, front)| front.clone() as Arc<dyn Protocol>);
+    let partners = as2.as_ref().map(|(_, front)| front.clone() as Arc<dyn PartnerProtocol>);
     let caller = Box::new(Outbound::new(clock, inputs.clone(), connections.clone(), partners));
     let (messages, pending) = (replay.messages.len(), replay.notices.len());
     let relay = (Relay::new(config.settings.clone(), config.seed)?, config.settings.clone());
@@ -194,13 +194,13 @@
             Some((handed, _)) => fleet::InitialEndpoints::HandedOver(handed.endpoints()),
         };
         let started = tokio::select! {
-            started = fleet::start(setup, rules, snapshot, (clock, seed), (inputs, replaced), process, before) => {
-                started.map_err(|error| format!("peers: {error}"))?
-            }
-            () = signals.stop() => {
-                end_unserved(clock, &status, received, platform).await;
-                return Ok(());
-            }
+        started = fleet::start(setup, rules, snapshot, (clock, seed), (inputs, replaced), process, before) => {
+        started.map_err(|error| format!("peers: {error}"))?
+        }
+        () = signals.stop() => {
+        end_unserved(clock, &status, received, platform).await;
+        return Ok(());
+        }
         };
         (runtime, restored_reports) = (runtime.with_fleet(started.updates), started.restored_reports);
         let abort = started.task.abort_handle();
@@ -210,15 +210,15 @@
     }
     // Pushed lists come from an agent on the same machine. Otherwise all relays query one server, which limits the rate.
     let (asking, watch) = match config.settings.list_request_interval {
-        None => (1, discovery::WATCH_PUSHED),
-        Some(_) => (config.settings.senders, discovery::WATCH),
+        None => (1, discovery::LOCAL_WATCH_WAIT),
+        Some(_) => (config.settings.senders, discovery::WATCH_WAIT),
     };
-    let mut back_off = discovery::BackOff::new(asking, config.seed, config.settings.rules.drain_grace);
+    let mut back_off = discovery::Backoff::new(asking, config.seed, config.settings.rules.drain_grace);
     let mut predecessor = None;
     match handed_over {
         None => runtime.resume(known, restored_reports, replay)?,
         Some((handed, link)) => {
-            back_off = back_off.watching();
+            back_off = back_off.resuming();
             status.inherit_standby(handed.standby);
             predecessor = Some((link, runtime.adopt(*handed, replay)?));
         }
@@ -226,12 +226,12 @@
 
     let [asked, told] = addresses(&config);
     let ((ask, asked), (tell, told)) = (watch::channel(asked), watch::channel(told));
-    let follow = discovery::follow(clock, asked, revision, (back_off, watch), inputs.clone());
-    let follow = tokio::spawn(watched("discovery", &ended, follow));
-    tokio::spawn(watched("reports", &ended, discovery::notify(clock, told, owed, inputs.clone())));
+    let following = discovery::watch_list(clock, asked, revision, (back_off, watch), inputs.clone());
+    let following = tokio::spawn(watched("discovery", &ended, following));
+    tokio::spawn(watched("reports", &ended, discovery::send_reports(clock, told, owed, inputs.clone())));
     let mut fronts = vec![platform.clone()];
     if let Some((address, as2)) = as2 {
-        let as2 = front(Front::Beside(as2));
+        let as2 = front(InboundProtocol::Partner(as2));
         let max_partners = Arc::new(AtomicUsize::new(max_partners));
         let partners = serve(listen(address, &status).await?, as2.clone(), max_partners);
         tokio::spawn(watched("partners' connections", &ended, partners));
@@ -242,14 +242,14 @@
         if predecessor.is_some() {
             // Both processes share the limit on client connections until those of the old process are closed.
             clients.store(client_limit(max_clients, max_clients), Ordering::Relaxed);
-            connections.keep_at_most(max_idle / 8);
+            connections.set_max_idle(max_idle / 8);
         }
         let (inputs, places_now, connections) = (inputs.clone(), clients.clone(), connections.clone());
         let (state, name, hands_over) = (config.state.clone(), config.name.clone(), hands_over(&config));
         tokio::spawn(async move {
             if let Some((link, out)) = predecessor {
                 serve_link(link, out, inputs.clone(), clients, max_clients).await;
-                connections.keep_at_most(max_idle);
+                connections.set_max_idle(max_idle);
             }
             // Once the old process has ended, this one may hand over in turn.
             if hands_over {
@@ -262,7 +262,7 @@
     let retiring = connections.clone();
     tokio::spawn(async move {
         loop {
-            let next_due = retiring.retire();
+            let next_due = retiring.close_expired();
             tokio::time::sleep_until(clock.instant(next_due)).await;
         }
     });
@@ -270,9 +270,9 @@
     let stopping = status.clone();
     tokio::spawn(async move {
         tokio::select! {
-            () = signals.stop() => {}
-            // The relay is drained in its maintenance slot. The next process ends the slot.
-            () = leave.notified() => {}
+        () = signals.stop() => {}
+        // The relay is drained in its maintenance slot. The next process ends the slot.
+        () = leave.notified() => {}
         }
         stopping.enter(Phase::Stopping);
         info!("stopping");
@@ -287,10 +287,10 @@
     let mut reload_retry = ReloadRetry::default();
     let end = loop {
         tokio::select! {
-            end = &mut served => break end?,
-            Some(task) = ends.recv() => return Err(format!("{task}: the task has ended by itself").into()),
-            Some(()) = hangup.recv() => reload_retry = ReloadRetry::default(),
-            () = reload_retry.due() => {}
+        end = &mut served => break end?,
+        Some(task) = ends.recv() => return Err(format!("{task}: the task has ended by itself").into()),
+        Some(()) = hangup.recv() => reload_retry = ReloadRetry::default(),
+        () = reload_retry.due() => {}
         }
         if let Some(read) = reload_retry.read(|| load(true)) {
             reload.apply(read);
@@ -299,7 +299,7 @@
     if let End::HandedOver(calls_left, inputs) = end {
         // Release what the new process needs: the listening socket and the socket of the peer links, then the state folder,
         // whose journal is already closed.
-        for task in [serving, Some(follow)].into_iter().flatten() {
+        for task in [serving, Some(following)].into_iter().flatten() {
             task.abort();
             let _ = task.await;
         }
@@ -307,7 +307,7 @@
             abort.abort();
             let _ = task.await;
         }
-        connections.keep_at_most(0);
+        connections.set_max_idle(0);
         status.enter(Phase::Superseded);
         drop(owner);
         if let Some(mut successor) = linked.recv().await {
@@ -317,7 +317,7 @@
         return Ok(());
     }
     for front in fronts {
-        front.answered(clock.now() + ANSWER_TIMEOUT_US).await;
+        front.wait_answered(clock.now() + ANSWER_TIMEOUT_US).await;
     }
     if let Some(record) = started
         && !record.handle.flushed(clock.instant(clock.now() + RECORD_TIMEOUT_US)).await
--- a/src/fleet/cutoffs.rs
+++ b/src/fleet/cutoffs.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use overload::waits::STEP_US;
-use permits::steward::Queue;
+use permits::coordinator::Queue;
 use serde_json::{Value, json};
 use tracing::info;
 
@@ -24,7 +24,7 @@
 
 /// The highest priority whose first message waits for [`MIN_CUTOFF_WAIT`], in thousandths, and that wait in seconds.
 fn cutoff(queue: &Queue) -> Option<(u16, f64)> {
-    let levels = queue.waits.levels().iter();
+    let levels = queue.wait_times.levels().iter();
     let mut waiting_long = levels.map(|(priority, first, _)| (*priority, Micros::from(*first) * STEP_US));
     waiting_long
         .find(|(_, wait)| *wait >= MIN_CUTOFF_WAIT)
@@ -76,12 +76,12 @@
         .map(|(priority, n)| format!("{n} of {:.2}", f64::from(*priority) / 1000.0))
         .collect();
     let seconds = |steps: u8| Micros::from(steps) as f64 * STEP_US as f64 / 1e6;
-    let waits = queue.waits.levels().iter();
+    let waits = queue.wait_times.levels().iter();
     let waits: Vec<String> = waits
         .map(|(priority, first, last)| {
             format!("{:.2}: {:.1} to {:.1} s", f64::from(*priority) / 1000.0, seconds(*first), seconds(*last))
         })
         .collect();
     json!({"destination": queue.destination, "per_s": queue.per_s, "cut": cutoff(queue).map(|(priority, _)| f64::from(priority) / 1000.0),
-        "waiting": waiting.join(", "), "waits": waits.join(", ")})
+"waiting": waiting.join(", "), "waits": waits.join(", ")})
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -24,8 +24,8 @@
 use ::fleet::{Peer, incarnation};
 use peers::node::Node as ObservationNode;
 use peers::observer::Observer;
-use permits::steward::Cold;
-use permits::{Sharing, earlier, node as permit};
+use permits::coordinator::ColdStart;
+use permits::{Sharing, node as permit, v2};
 use repeats::node as repeat;
 use serde_json::{Value, json};
 use tokio::net::{UdpSocket, UnixListener};
@@ -171,14 +171,14 @@
     let link = PeerLink::new(config, now);
     let relays = count(&setup.all);
     let permits = setup.permits.map(|sharing| {
-        let cold = Cold { from: rules.cold_capacity_fraction, warm_after: rules.warm_up };
+        let cold = ColdStart { initial_fraction: rules.cold_capacity_fraction, warm_after: rules.warm_up };
         let config = permit::Config {
             me: setup.me,
             relays,
             incarnation: start,
             cold,
             sharing,
-            follows: setup.repeats,
+            follow_success_rate: setup.repeats,
         };
         permit::Node::new(config, now)
     });
@@ -255,7 +255,7 @@
             {
                 maintenance.set_strained(
                     now,
-                    self.permits.as_ref().and_then(|permits| permits.strained(now, STRAIN_WAIT_US)),
+                    self.permits.as_ref().and_then(|permits| permits.find_strained(now, STRAIN_WAIT_US)),
                 );
             }
             let maintenance_due =
@@ -288,32 +288,32 @@
                 next = next.min(self.cutoffs.next_due());
             }
             tokio::select! {
-                n = update_receiver.recv_many(&mut batch, UPDATE_BATCH) => {
-                    if n == 0 {
-                        return;
-                    }
-                    let now = self.clock.now();
-                    batch.drain(..).for_each(|update| self.apply_update(now, update));
-                }
-                received = self.socket.recv_from(&mut buffer) => {
-                    let Ok((n, from)) = received else {
-                        // Avoids a busy loop while the socket fails.
-                        tokio::time::sleep(SOCKET_ERROR_PAUSE).await;
-                        continue;
-                    };
-                    if let Err(error) = self.receive(buffer.get(..n).unwrap_or_default()) {
-                        debug!("datagram of {n} bytes from {from}: {error}");
-                    }
-                }
-                Ok(()) = self.relay_lists.changed() => self.replace(),
-                accepted = accept(control.as_ref()) => {
-                    match accepted {
-                        Ok(stream) => drop(tokio::spawn(serve(stream, commands_tx.clone()))),
-                        Err(_) => tokio::time::sleep(SOCKET_ERROR_PAUSE).await,
-                    }
-                }
-                Some((line, answer)) = commands.recv() => drop(answer.send(self.handle_command(&line))),
-                () = tokio::time::sleep_until(self.clock.instant(next)) => {}
+            n = update_receiver.recv_many(&mut batch, UPDATE_BATCH) => {
+            if n == 0 {
+            return;
+            }
+            let now = self.clock.now();
+            batch.drain(..).for_each(|update| self.apply_update(now, update));
+            }
+            received = self.socket.recv_from(&mut buffer) => {
+            let Ok((n, from)) = received else {
+            // Avoids a busy loop while the socket fails.
+            tokio::time::sleep(SOCKET_ERROR_PAUSE).await;
+            continue;
+            };
+            if let Err(error) = self.receive(buffer.get(..n).unwrap_or_default()) {
+            debug!("datagram of {n} bytes from {from}: {error}");
+            }
+            }
+            Ok(()) = self.relay_lists.changed() => self.replace(),
+            accepted = accept(control.as_ref()) => {
+            match accepted {
+            Ok(stream) => drop(tokio::spawn(serve(stream, commands_tx.clone()))),
+            Err(_) => tokio::time::sleep(SOCKET_ERROR_PAUSE).await,
+            }
+            }
+            Some((line, answer)) = commands.recv() => drop(answer.send(self.handle_command(&line))),
+            () = tokio::time::sleep_until(self.clock.instant(next)) => {}
             }
         }
     }
@@ -332,12 +332,12 @@
             ),
         );
         if let Some(permits) = &mut self.permits {
-            out.extend(permits.say_earlier(self.link.keys()));
-            for grants in permits.take_given() {
+            out.extend(permits.take_v2_datagrams(self.link.keys()));
+            for grants in permits.take_received_grants() {
                 // While the runtime's queue is full grants are dropped, and the relay falls back to its own pace.
                 let _ = self.inputs.try_send(Input::Granted(grants));
             }
-            for (destination, waits) in permits.take_waits() {
+            for (destination, waits) in permits.take_wait_times() {
                 let _ = self.inputs.try_send(Input::MinimumWaits(destination, waits));
             }
         }
@@ -364,12 +364,14 @@
         match update {
             FleetUpdate::Listed(listed) => {
                 for (destination, rate) in listed {
-                    self.permits.iter_mut().for_each(|permits| permits.listed(destination, rate));
+                    self.permits.iter_mut().for_each(|permits| permits.set_listed_rate(destination, rate));
                     self.repeats.iter_mut().for_each(|repeats| repeats.set_rate(now, destination, rate));
                 }
             }
             FleetUpdate::RequestGrants(destination, tiers) => {
-                self.permits.iter_mut().for_each(|permits| permits.want(now, destination, tiers.clone()));
+                self.permits
+                    .iter_mut()
+                    .for_each(|permits| permits.set_waiting(now, destination, tiers.clone()));
             }
             FleetUpdate::FirstAttempt(destination) => {
                 self.repeats.iter_mut().for_each(|repeats| repeats.first_attempt(now, destination));
@@ -406,8 +408,8 @@
                 &mut self.distribution,
             ),
         );
-        if let (Err(DatagramError::Version(earlier::VERSION)), Some(permits)) = (result, &mut self.permits) {
-            return permits.hear_earlier(now, bytes, self.link.keys());
+        if let (Err(DatagramError::Version(v2::VERSION)), Some(permits)) = (result, &mut self.permits) {
+            return permits.receive_v2(now, bytes, self.link.keys());
         }
         if let Some((observations, _, snapshot)) = &mut self.observations {
             let received = observations.take_updates();
@@ -435,7 +437,7 @@
         self.setup.all = all;
         let relays = count(&self.setup.all);
         self.link.replace(self.setup.peers());
-        self.permits.iter_mut().for_each(|permits| permits.replaced(relays));
+        self.permits.iter_mut().for_each(|permits| permits.set_relay_count(relays));
         self.repeats.iter_mut().for_each(|repeats| repeats.set_relays(relays));
         if let Some((observations, ..)) = &mut self.observations {
             observations.set_members(self.link.members());
--- a/src/fleet/show.rs
+++ b/src/fleet/show.rs
@@ -22,7 +22,7 @@
     let listed: Vec<Value> = listed.map(|observation| show_observation(now, &observation)).collect();
     let permits = task.permits.iter();
     let shares: Vec<Value> =
-        permits.clone().flat_map(|permits| permits.shares(now)).map(show_share).collect();
+        permits.clone().flat_map(|permits| permits.limit_statuses(now)).map(show_share).collect();
     let queues = permits.flat_map(|permits| permits.queues(now));
     let queues: Vec<Value> = queues.map(|queue| cutoffs::show(&queue)).collect();
     let budgets = task.repeats.iter().flat_map(|repeats| repeats.status(now));
@@ -62,9 +62,9 @@
         "by": observation.source, "hops": observation.hops, "weight": weight})
 }
 
-fn show_share(share: permit::Share) -> Value {
-    json!({"destination": share.destination, "steward": share.steward, "own": share.own,
-        "lent": share.lent, "of": share.of, "sliced": share.sliced})
+fn show_share(share: permit::LimitStatus) -> Value {
+    json!({"destination": share.destination, "steward": share.coordinator, "own": share.owns_share,
+        "lent": share.usable_shares, "of": share.total_shares, "sliced": share.grants_rates})
 }
 
 fn show_budget(budget: repeat::BudgetStatus) -> Value {
--- a/src/fleet/updates.rs
+++ b/src/fleet/updates.rs
@@ -2,9 +2,9 @@
 
 use peers::observation::{Observation, Observed};
 use peers::observer::{CallSignal, ObservedCall};
-use permits::Tiers;
-use permits::note::Sign;
-use permits::steward::Report;
+use permits::WaitingByPriority;
+use permits::coordinator::Report;
+use permits::item::CallResult;
 
 use crate::interface::{DestinationId, DestinationObservation, Micros, ObservedCondition, Outcome};
 
@@ -14,11 +14,11 @@
     /// Destinations, and the rates that the directory lists for them, in calls per second.
     Listed(Vec<(i64, f64)>),
     /// Messages that wait for a destination beyond the grants held, by priority.
-    RequestGrants(i64, Tiers),
+    RequestGrants(i64, WaitingByPriority),
     /// A first attempt at a destination has started.
     FirstAttempt(i64),
     /// Retries that wait for a destination beyond the retry tokens held, by priority.
-    RequestRetryTokens(i64, Tiers),
+    RequestRetryTokens(i64, WaitingByPriority),
     /// A call to a destination has ended.
     CallEnded {
         /// The destination.
@@ -35,17 +35,17 @@
     destination: i64, outcome: Outcome, (began, ended): (Micros, Micros),
     limit_report: &crate::interface::LimitReport,
 ) -> FleetUpdate {
-    let (observed, sign, wait) = match outcome {
-        Outcome::Ok => (CallSignal::Success, Some(Sign::Well), None),
-        Outcome::Full(wait) => (CallSignal::Refused(wait), Some(Sign::Refused), wait),
-        Outcome::Crowded => (CallSignal::Inconclusive, Some(Sign::Crowded), None),
+    let (observed, result, wait) = match outcome {
+        Outcome::Ok => (CallSignal::Success, Some(CallResult::Succeeded), None),
+        Outcome::Full(wait) => (CallSignal::Refused(wait), Some(CallResult::Refused), wait),
+        Outcome::Crowded => (CallSignal::Inconclusive, Some(CallResult::OutOfConnections), None),
         Outcome::Error | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => {
-            (CallSignal::Failure, Some(Sign::Failed), None)
+            (CallSignal::Failure, Some(CallResult::Failed), None)
         }
         Outcome::Spoilt | Outcome::Cancelled | Outcome::Skipped => (CallSignal::Inconclusive, None, None),
     };
-    let (limit, left) = (limit_report.limit, limit_report.remaining_fraction);
-    let report = sign.map(|sign| Report { sign, began, wait, limit, left });
+    let (limit, remaining) = (limit_report.limit, limit_report.remaining_fraction);
+    let report = result.map(|result| Report { result, began, wait, limit, remaining });
     FleetUpdate::CallEnded {
         destination,
         report,
--- a/src/handover/link.rs
+++ b/src/handover/link.rs
@@ -15,7 +15,7 @@
 
 use crate::exchange::{Answer, CallEnd, Exchange, ProvisionalDecision};
 use crate::handed::HandoverState;
-use crate::net::http::MOST_BODY;
+use crate::net::http::MAX_BODY_BYTES;
 use crate::net::stream::Stream;
 
 /// Maximum size of a frame's head, in bytes.
@@ -87,7 +87,7 @@
         }) else {
             return Ok(None);
         };
-        if head > MAX_HEAD || body > MOST_BODY {
+        if head > MAX_HEAD || body > MAX_BODY_BYTES {
             return Err(wrong(format!("frame of {head} and {body} bytes exceeds the limit")));
         }
         if from.len() < LENGTHS + head + body {
@@ -111,7 +111,7 @@
     fn encode(&mut self, message: &LinkMessage, to: &mut BytesMut) -> Result<(), std::io::Error> {
         let head = serde_json::to_vec(message)?;
         let body = if let LinkMessage::Submitted(_, exchange) = message { &exchange.body[..] } else { &[] };
-        if head.len() > MAX_HEAD || body.len() > MOST_BODY {
+        if head.len() > MAX_HEAD || body.len() > MAX_BODY_BYTES {
             return Err(std::io::Error::new(ErrorKind::InvalidData, "frame exceeds the size limit"));
         }
         to.reserve(LENGTHS + head.len() + body.len());
--- a/src/handover/old.rs
+++ b/src/handover/old.rs
@@ -126,12 +126,12 @@
         let now = clock.now();
         if now >= next_count {
             next_count = now + COUNT_INTERVAL;
-            let count = front.connections();
+            let count = front.open_connections();
             if count != clients && !successor_gone {
                 clients = count;
                 let _ = link.send(&LinkMessage::Clients(count)).await;
             }
-            let idle = front.open() == 0 && (count == 0 || now >= idle_until);
+            let idle = front.pending_requests() == 0 && (count == 0 || now >= idle_until);
             if idle && in_flight.is_empty() || now >= until {
                 info!(
                     "process ends with {} calls in flight and {count} client connections open",
@@ -141,61 +141,61 @@
             }
         }
         tokio::select! {
-            input = inputs.recv() => match input {
-                None => return,
-                Some(Input::Submitted(_, _, reply)) if successor_gone => {
-                    drop(reply.send(Answer::Refused(SUCCESSOR_GONE.into(), None)));
-                }
-                Some(Input::Submitted(exchange, _, reply)) => {
-                    requests += 1;
-                    waiting.insert(requests, reply);
-                    let _ = link.send(&LinkMessage::Submitted(requests, (*exchange).clone())).await;
-                }
-                Some(Input::ProvisionalDecision(heard)) if understands_heard => {
-                    let _ = link.send(&LinkMessage::Heard(heard)).await;
-                }
-                Some(Input::CallEnded(end)) => {
-                    in_flight.remove(&(end.id.clone(), end.attempt));
-                    let _ = link.send(&LinkMessage::Ended(end)).await;
-                }
-                Some(Input::Withdrawn(id)) => {
-                    let _ = link.send(&LinkMessage::Withdrawn(id)).await;
-                }
-                Some(Input::ReportsAcknowledged(ids)) => {
-                    let _ = link.send(&LinkMessage::Acknowledged(ids)).await;
-                }
-                Some(Input::Stop(last)) => until = last + STOP_MARGIN,
-                // The new process receives the other inputs from their sources.
-                Some(_) => {}
-            },
-            message = link.next(), if !successor_gone => match message {
-                Some(Ok(LinkMessage::Serving)) => {
-                    info!("superseded: the relay stood still for {} us", clock.now() - stopped);
-                }
-                Some(Ok(LinkMessage::Answer(number, answer))) => {
-                    if let Some(reply) = waiting.remove(&number) {
-                        drop(reply.send(answer));
-                    }
-                }
-                Some(Ok(LinkMessage::Cancel(id, attempt))) => {
-                    if let Some(cancel) = in_flight.get_mut(&(id, attempt)).and_then(Option::take) {
-                        let _ = cancel.send(());
-                    }
-                }
-                Some(Ok(_)) => {}
-                Some(Err(_)) | None => {
-                    warn!("the process that took over is gone; the messages it accepted wait in the state folder");
-                    successor_gone = true;
-                    // The next owner of the folder treats these calls as calls that may have run, and may retry some.
-                    for cancel in in_flight.values_mut().filter_map(Option::take) {
-                        let _ = cancel.send(());
-                    }
-                    for (_, reply) in waiting.drain() {
-                        drop(reply.send(Answer::Refused(SUCCESSOR_GONE.into(), None)));
-                    }
-                }
-            },
-            () = tokio::time::sleep_until(clock.instant(next_count)) => {}
+        input = inputs.recv() => match input {
+        None => return,
+        Some(Input::Submitted(_, _, reply)) if successor_gone => {
+        drop(reply.send(Answer::Refused(SUCCESSOR_GONE.into(), None)));
+        }
+        Some(Input::Submitted(exchange, _, reply)) => {
+        requests += 1;
+        waiting.insert(requests, reply);
+        let _ = link.send(&LinkMessage::Submitted(requests, (*exchange).clone())).await;
+        }
+        Some(Input::ProvisionalDecision(heard)) if understands_heard => {
+        let _ = link.send(&LinkMessage::Heard(heard)).await;
+        }
+        Some(Input::CallEnded(end)) => {
+        in_flight.remove(&(end.id.clone(), end.attempt));
+        let _ = link.send(&LinkMessage::Ended(end)).await;
+        }
+        Some(Input::Withdrawn(id)) => {
+        let _ = link.send(&LinkMessage::Withdrawn(id)).await;
+        }
+        Some(Input::ReportsAcknowledged(ids)) => {
+        let _ = link.send(&LinkMessage::Acknowledged(ids)).await;
+        }
+        Some(Input::Stop(last)) => until = last + STOP_MARGIN,
+        // The new process receives the other inputs from their sources.
+        Some(_) => {}
+        },
+        message = link.next(), if !successor_gone => match message {
+        Some(Ok(LinkMessage::Serving)) => {
+        info!("superseded: the relay stood still for {} us", clock.now() - stopped);
+        }
+        Some(Ok(LinkMessage::Answer(number, answer))) => {
+        if let Some(reply) = waiting.remove(&number) {
+        drop(reply.send(answer));
+        }
+        }
+        Some(Ok(LinkMessage::Cancel(id, attempt))) => {
+        if let Some(cancel) = in_flight.get_mut(&(id, attempt)).and_then(Option::take) {
+        let _ = cancel.send(());
+        }
+        }
+        Some(Ok(_)) => {}
+        Some(Err(_)) | None => {
+        warn!("the process that took over is gone; the messages it accepted wait in the state folder");
+        successor_gone = true;
+        // The next owner of the folder treats these calls as calls that may have run, and may retry some.
+        for cancel in in_flight.values_mut().filter_map(Option::take) {
+        let _ = cancel.send(());
+        }
+        for (_, reply) in waiting.drain() {
+        drop(reply.send(Answer::Refused(SUCCESSOR_GONE.into(), None)));
+        }
+        }
+        },
+        () = tokio::time::sleep_until(clock.instant(next_count)) => {}
         }
     }
 }
--- a/src/input.rs
+++ b/src/input.rs
@@ -37,7 +37,7 @@
     /// Peers report the state of a destination.
     PeerReport(DestinationObservation),
     /// A limit coordinator granted calls to a destination.
-    Granted(permits::node::Given),
+    Granted(permits::node::ReceivedGrants),
     /// A limit coordinator sent the minimum waits of messages to a destination, by priority.
     MinimumWaits(i64, overload::waits::MinimumWaits),
     /// The fleet's retry budget permits retries.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -549,14 +549,14 @@
         /// The destination.
         destination: DestinationId,
         /// Number of messages by priority, highest first.
-        waiting: permits::Tiers,
+        waiting: permits::WaitingByPriority,
     },
     /// Request tokens of a destination's retry budget, for retries beyond the tokens held.
     RequestRetryTokens {
         /// The destination.
         destination: DestinationId,
         /// Number of messages by priority, highest first.
-        waiting: permits::Tiers,
+        waiting: permits::WaitingByPriority,
     },
     /// Probe an endpoint.
     Probe(TargetId),
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 use overload::waits::MinimumWaits;
-use permits::held::Gate;
+use permits::held_grants::Admission;
 use repeats::tokens::RetryTokens;
 use serde::{Deserialize, Serialize};
 
@@ -73,10 +73,10 @@
     /// interval and, unless `without_slot` is set, the recovery slot of a failure state apply.
     fn next_start(&self, now: Micros, without_slot: bool) -> Micros {
         let after_wait = now.max(self.wait_until.unwrap_or(now));
-        let paced = match self.grants.gate(now) {
-            Gate::Permitted => return after_wait,
-            Gate::Waits(until) => return after_wait.max(until),
-            Gate::Own => self.pacer.interval.map_or(now, |_| self.pacer.next_start),
+        let paced = match self.grants.admission(now) {
+            Admission::Granted => return after_wait,
+            Admission::WaitUntil(until) => return after_wait.max(until),
+            Admission::LocalPacing => self.pacer.interval.map_or(now, |_| self.pacer.next_start),
         };
         let start = after_wait.max(paced);
         let failure = self.failure.as_ref().filter(|failure| !without_slot && start > failure.early_until);
@@ -314,8 +314,8 @@
             };
             let ready = |(_, id): &&(ReleaseOrder, MessageId)| !self.settings.retry_budget || has_token(id);
             let beyond = destination.queue.iter().filter(ready).take(startable).skip(path.grants.count(now));
-            let waiting = permits::tiers(beyond.map(|(order, _)| order.0.0));
-            if path.grants.want(now, &waiting) {
+            let waiting = permits::waiting_by_priority(beyond.map(|(order, _)| order.0.0));
+            if path.grants.set_waiting(now, &waiting) {
                 actions.push(Action::RequestGrants { destination: *id, waiting });
             }
         }
@@ -330,7 +330,7 @@
             let is_retry = |id: &MessageId| self.messages.get(id).is_some_and(|m| m.attempts > 0);
             let retries = destination.queue.iter().filter(|(_, id)| is_retry(id));
             let beyond = retries.skip(destination.retry_tokens.available(now));
-            let waiting = permits::tiers(beyond.map(|(order, _)| order.0.0));
+            let waiting = permits::waiting_by_priority(beyond.map(|(order, _)| order.0.0));
             if destination.retry_tokens.request(&waiting) {
                 actions.push(Action::RequestRetryTokens { destination: *id, waiting });
             }
@@ -340,7 +340,7 @@
     /// Handles the answer of a limit coordinator.
     fn granted(&mut self, now: Micros, id: DestinationId, grants: u16, few_connections: bool) {
         let Some(destination) = self.destinations.get(&id).filter(|d| !d.separate_routes) else { return };
-        self.paths[destination.path].grants.heard(now, grants);
+        self.paths[destination.path].grants.receive(now, grants);
         // If any sender was rejected for lack of connections, all senders close their idle ones.
         let endpoints = destination.endpoints.iter().filter_map(|target| self.endpoints.get(target));
         for endpoint in endpoints.filter(|_| few_connections) {
@@ -679,8 +679,8 @@
             let endpoints = destination.endpoints.iter().filter_map(|target| self.endpoints.get(target));
             let paths: Vec<&SendPath> =
                 endpoints.filter(|e| !e.out_of_service).map(|e| &self.paths[e.path]).collect();
-            let settled =
-                !paths.is_empty() && paths.iter().all(|path| path.in_flight == 0 && !path.grants.led(now));
+            let settled = !paths.is_empty()
+                && paths.iter().all(|path| path.in_flight == 0 && !path.grants.recently_coordinated(now));
             for (_, id) in destination.queue.iter().filter(|_| settled) {
                 let Some(message) = self.messages.get(id).filter(|m| m.may_be_shed()) else { continue };
                 let starts_too_late = |path: &&SendPath| {
@@ -723,7 +723,7 @@
                 path.backlog.reset();
                 continue;
             }
-            let waiting = permits::tiers(destination.queue.iter().map(|(order, _)| order.0.0));
+            let waiting = permits::waiting_by_priority(destination.queue.iter().map(|(order, _)| order.0.0));
             path.backlog.update(now, 0, &waiting);
             let path = &self.paths[destination.path];
             let waits = path
@@ -752,13 +752,13 @@
         // A message of any but the least valuable class is also judged by the queue at its full value: if it
         // is late, the less valuable messages that are ahead of it will lose value and fall behind it.
         let (value, classes) = (self.settings.classes[message.class].value, &self.settings.classes);
-        let full_priority = permits::tier((value * VALUE_SCALE) as u64);
+        let full_priority = permits::priority_level((value * VALUE_SCALE) as u64);
         if classes.iter().any(|class| class.value < value) && now + waits.wait_at(full_priority, 1.0) < last {
             return true;
         }
         while from < last {
             let (value, until) = self.value_at(message, from);
-            if now + waits.wait_at(permits::tier(value), ahead) < until.min(last) {
+            if now + waits.wait_at(permits::priority_level(value), ahead) < until.min(last) {
                 return true;
             }
             (from, ahead) = (until, 0.0);
@@ -872,7 +872,7 @@
         }
         // A failing endpoint of a working destination gets one trial call at a time. Under a grant it stays
         // available as the last choice instead (see `next_send`).
-        let own_pace = path.grants.gate(now) == Gate::Own;
+        let own_pace = path.grants.admission(now) == Admission::LocalPacing;
         if own_pace
             && endpoint.failures >= FAILING_STREAK
             && (endpoint.in_flight > 0 || endpoint.next_trial > now)
@@ -956,7 +956,7 @@
                     endpoint.raise_limit_at = now + CONNECTION_LIMIT_RETRY_US;
                 }
                 path.in_flight += 1;
-                path.grants.take();
+                path.grants.use_grant();
                 path.backlog.record_start(now, 0);
                 path.pacer.on_start(now);
                 path.assign_next_slot(
--- a/src/rules/outcomes.rs
+++ b/src/rules/outcomes.rs
@@ -213,8 +213,8 @@
                 endpoint.failures += 1;
                 // Under grants, the limit coordinator bounds the traffic to a returning destination, not this
                 // sender's recovery slots.
-                endpoint.next_trial = match path.grants.gate(now) {
-                    Gate::Own => path.failure.as_ref().map_or(now, |failure| failure.next_slot),
+                endpoint.next_trial = match path.grants.admission(now) {
+                    Admission::LocalPacing => path.failure.as_ref().map_or(now, |failure| failure.next_slot),
                     _ => now + with_jitter(settings.rules.warm_up / 2, jitter),
                 };
             }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -28,8 +28,8 @@
 use crate::handed::{Offer, RemainingCalls};
 use crate::input::Input;
 use crate::interface::*;
-use crate::net::clearance::Clearance;
-use crate::net::inbound::Vocabulary;
+use crate::net::inbound::KnownNames;
+use crate::net::send_guard::SendGuard;
 use crate::recording::Outbox;
 use crate::rules::Relay;
 use crate::standing::ProcessStatus;
@@ -52,7 +52,7 @@
     /// Closes the idle connections to an endpoint.
     fn close(&self, target: TargetId);
     /// The conditions that hold back calls whose bytes have not been sent yet.
-    fn clearance(&self) -> &Clearance;
+    fn send_guard(&self) -> &SendGuard;
     /// The receipt that proves the delivery of a message, where its destination gives receipts.
     fn expected_receipt(&self, exchange: &Exchange) -> Option<Expected>;
 }
@@ -73,7 +73,7 @@
     names: Names,
     classes: Classes,
     settings: Settings,
-    vocabulary: watch::Sender<Vocabulary>,
+    vocabulary: watch::Sender<KnownNames>,
     /// Maximum number of messages held.
     max_held: usize,
     /// Maximum number of bytes in the bodies of messages held.
@@ -164,7 +164,7 @@
 
     /// Publishes the names of classes and tenants to the clients' side, also when settings change.
     #[must_use]
-    pub fn with_vocabulary(mut self, vocabulary: watch::Sender<Vocabulary>) -> Self {
+    pub fn with_vocabulary(mut self, vocabulary: watch::Sender<KnownNames>) -> Self {
         self.vocabulary = vocabulary;
         self
     }
@@ -206,9 +206,9 @@
         loop {
             let wake = self.clock.instant(self.next_wake());
             tokio::select! {
-                biased;
-                n = inputs.recv_many(&mut batch, MAX_BATCH) => if n == 0 { return Ok(End::Stopped) },
-                () = tokio::time::sleep_until(wake) => {}
+            biased;
+            n = inputs.recv_many(&mut batch, MAX_BATCH) => if n == 0 { return Ok(End::Stopped) },
+            () = tokio::time::sleep_until(wake) => {}
             }
             self.process(&mut batch)?;
             if self.done_at().is_some_and(|at| at <= self.clock.now()) {
--- a/src/runtime/outcomes.rs
+++ b/src/runtime/outcomes.rs
@@ -106,7 +106,7 @@
     /// received.
     fn hold_back(&self, done: &AttemptResult, now: Micros) {
         if let (Some(wait), Some(lane)) = (done.requested_wait(), self.relay.send_path(done.target)) {
-            self.caller.clearance().wait(lane, now + wait);
+            self.caller.send_guard().hold_path(lane, now + wait);
         }
     }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -7,7 +7,7 @@
 
 use overload::backlog::Backlog;
 use overload::waits::MinimumWaits;
-use permits::held::Held;
+use permits::held_grants::HeldGrants;
 use repeats::tokens::RetryTokens;
 use serde::{Deserialize, Serialize};
 
@@ -70,7 +70,7 @@
     /// Grants of the limit coordinator, which paces all senders together. The own pacer counts while none is
     /// heard.
     #[serde(rename = "held")]
-    pub(crate) grants: Held,
+    pub(crate) grants: HeldGrants,
     /// This sender's own queue for the path and how it moves.
     #[serde(default)]
     pub(crate) backlog: Backlog,
@@ -196,7 +196,7 @@
 impl Message {
     /// Returns the priority that follows from its present value.
     pub(crate) fn priority(&self) -> u16 {
-        permits::tier(self.order.0.0)
+        permits::priority_level(self.order.0.0)
     }
 
     /// Returns whether an estimated wait may end it before its due time. A message resumed untried is owed
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -155,7 +155,7 @@
     let both = fleet("on", "on").expect("a fleet");
     assert!(both.observations.is_some() && both.permits == Some(Sharing::Whole));
     let alone = fleet("off", "parts").expect("a fleet");
-    assert!(alone.observations.is_none() && alone.permits == Some(Sharing::Parts));
+    assert!(alone.observations.is_none() && alone.permits == Some(Sharing::Shares));
     let settings = read("off", "parts").expect("sound").settings;
     assert!(settings.coordinators && settings.shares);
     assert!(!read("off", "on").expect("sound").settings.shares);
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -14,14 +14,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot, watch};
 
-use stand::FAR;
+use stand::TEST_TIMEOUT;
 use tulipfall::config::Config;
 use tulipfall::exchange::{Answer, CallEnd, Clock, Exchange, OutboundCall};
 use tulipfall::input::Input;
 use tulipfall::interface::{Decision, Effect, Micros, Outcome, TargetId};
 use tulipfall::net::connections::Connections;
-use tulipfall::net::http::Budget;
-use tulipfall::net::inbound::{Front, Inbound, Vocabulary, serve};
+use tulipfall::net::http::MemoryBudget;
+use tulipfall::net::inbound::{Inbound, InboundProtocol, KnownNames, serve};
 use tulipfall::net::outbound::Outbound;
 use tulipfall::rules::Relay;
 use tulipfall::runtime::{Caller, Runtime};
@@ -34,7 +34,7 @@
 
 /// Awaits a future, with the distant deadline.
 async fn within_deadline<T>(future: impl Future<Output = T>) -> T {
-    tokio::time::timeout(FAR, future).await.expect("within the deadline")
+    tokio::time::timeout(TEST_TIMEOUT, future).await.expect("within the deadline")
 }
 
 /// An endpoint with a listen queue of one connection: a further connection is established only after the one before it was
@@ -126,7 +126,7 @@
 
     /// Asserts that nothing was sent on this connection, after making the relay close it.
     async fn assert_unused(&self, mut connection: TcpStream) {
-        self.connections.close(TargetId(7));
+        self.connections.close_idle(TargetId(7));
         let mut bytes = Vec::new();
         within_deadline(connection.read_to_end(&mut bytes)).await.expect("the end of the connection");
         assert_eq!(String::from_utf8_lossy(&bytes), "", "nothing was sent");
@@ -180,7 +180,7 @@
 async fn a_wait_of_a_send_path_holds_a_connecting_call_of_that_path_only() {
     let mut call_side = CallSide::new();
     let wait = async |call_side: &CallSide| {
-        call_side.connections.clearance().wait(PATH, call_side.clock.now() + 30 * S)
+        call_side.connections.send_guard().hold_path(PATH, call_side.clock.now() + 30 * S)
     };
     call_side.assert_held_by(|_| {}, wait).await;
     // A call on another path is sent.
@@ -194,8 +194,8 @@
 async fn a_later_shorter_wait_does_not_end_a_longer_one() {
     let mut call_side = CallSide::new();
     let waits = async |call_side: &CallSide| {
-        call_side.connections.clearance().wait(PATH, call_side.clock.now() + 30 * S);
-        call_side.connections.clearance().wait(PATH, call_side.clock.now() + 1);
+        call_side.connections.send_guard().hold_path(PATH, call_side.clock.now() + 30 * S);
+        call_side.connections.send_guard().hold_path(PATH, call_side.clock.now() + 1);
     };
     call_side.assert_held_by(|_| {}, waits).await;
 }
@@ -206,10 +206,10 @@
     call_side
         .assert_held_by(
             |_| {},
-            async |call_side| call_side.connections.clearance().listed(TargetId(7), false),
+            async |call_side| call_side.connections.send_guard().set_in_service(TargetId(7), false),
         )
         .await;
-    call_side.connections.clearance().listed(TargetId(7), true);
+    call_side.connections.send_guard().set_in_service(TargetId(7), true);
     let endpoint = Endpoint::new();
     let _handle = call_side.outbound.call(call_side.call("again", &endpoint));
     read_request(&mut endpoint.accept().await).await;
@@ -220,11 +220,11 @@
     let (mut call_side, endpoint) = (CallSide::new(), Endpoint::new());
     let _queued = endpoint.fill_queue().await;
     let _held = call_side.outbound.call(call_side.call("held", &endpoint));
-    call_side.connections.clearance().listed(TargetId(7), false);
+    call_side.connections.send_guard().set_in_service(TargetId(7), false);
     endpoint.accept().await;
     let mut connection = endpoint.accept().await;
     assert_eq!(call_side.next_end().await.outcome, Outcome::Skipped);
-    call_side.connections.clearance().listed(TargetId(7), true);
+    call_side.connections.send_guard().set_in_service(TargetId(7), true);
     let _next = call_side.outbound.call(call_side.call("next", &endpoint));
     assert!(read_request(&mut connection).await.contains("X-Correlation-Id: next"));
 }
@@ -235,7 +235,7 @@
     call_side
         .assert_held_by(
             |_| {},
-            async |call_side| call_side.connections.clearance().stop(call_side.clock.now()),
+            async |call_side| call_side.connections.send_guard().stop_at(call_side.clock.now()),
         )
         .await;
 }
@@ -262,11 +262,14 @@
     let known = config.known.map(|known| known.members).unwrap_or_default();
     runtime.resume(known, vec![], replay).expect("stored");
     let call = call_side.call("late", &endpoint);
-    assert!(call_side.connections.clearance().allows(&call));
+    assert!(call_side.connections.send_guard().allows(&call));
     let (inputs, received) = mpsc::channel(4);
     inputs.send(Input::Stop(call_side.clock.now() + 1)).await.expect("an open channel");
     within_deadline(runtime.run(received)).await.expect("a stop without an error");
-    assert!(!call_side.connections.clearance().allows(&call), "no call starts in a process that is stopping");
+    assert!(
+        !call_side.connections.send_guard().allows(&call),
+        "no call starts in a process that is stopping"
+    );
     let _handle = call_side.outbound.call(call);
     let connection = endpoint.accept().await;
     assert_eq!(call_side.next_end().await.outcome, Outcome::Skipped);
@@ -291,7 +294,7 @@
     let mut connection = endpoint.accept().await;
     let mut bytes = vec![0];
     within_deadline(connection.read_exact(&mut bytes)).await.expect("its first byte");
-    call_side.connections.clearance().wait(PATH, call_side.clock.now() + 30 * S);
+    call_side.connections.send_guard().hold_path(PATH, call_side.clock.now() + 30 * S);
     assert_eq!(call_side.next_end().await.outcome, Outcome::Skipped);
     let mut rest = Vec::new();
     let _ = within_deadline(connection.read_to_end(&mut rest)).await;
@@ -340,7 +343,7 @@
 async fn held_calls_do_not_extend_the_idle_time_of_a_connection() {
     let (mut call_side, endpoint) = (CallSide::with_idle_limit(S / 5), Endpoint::new());
     let connection = call_side.serve_first_call(&endpoint).await;
-    call_side.connections.clearance().wait(PATH, call_side.clock.now() + 30 * S);
+    call_side.connections.send_guard().hold_path(PATH, call_side.clock.now() + 30 * S);
     // Calls that are held repeatedly must not reset the idle time, because the endpoint closes idle connections by its own
     // clock.
     let began = call_side.clock.now();
@@ -349,7 +352,7 @@
         if call_side.next_end().await.outcome != Outcome::Skipped {
             break;
         }
-        call_side.connections.retire();
+        call_side.connections.close_expired();
         let mut byte = [0];
         if matches!(connection.try_read(&mut byte), Ok(0)) {
             return;
@@ -476,11 +479,13 @@
 impl ClientSide {
     async fn open() -> Self {
         let (clock, (to, inputs)) = (Clock::start(), mpsc::channel(16));
-        let names = Vocabulary { classes: vec!["any".into()], ..Vocabulary::default() };
-        let (reading, busy, guests) = Default::default();
+        let names = KnownNames { classes: vec!["any".into()], ..KnownNames::default() };
+        let (reading, busy, connections) = Default::default();
         let standing = Arc::new(ProcessStatus::starting(clock));
-        let (front, budget) = (Front::Platform(watch::channel(names).1), Budget::new(1 << 20));
-        let inbound = Arc::new(Inbound { clock, front, inputs: to, budget, reading, busy, guests, standing });
+        let (protocol, budget) =
+            (InboundProtocol::Platform(watch::channel(names).1), MemoryBudget::new(1 << 20));
+        let inbound =
+            Arc::new(Inbound { clock, protocol, inputs: to, budget, reading, busy, connections, standing });
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
         let address = listener.local_addr().expect("an address");
         tokio::spawn(serve(listener, inbound.clone(), Arc::new(8.into())));
@@ -531,7 +536,7 @@
     front.inbound.standing.enter(Phase::Stopping);
     front.inputs.close();
     let inbound = front.inbound.clone();
-    let answered = tokio::spawn(async move { inbound.answered(inbound.clock.now() + 20 * S).await });
+    let answered = tokio::spawn(async move { inbound.wait_answered(inbound.clock.now() + 20 * S).await });
     tokio::task::yield_now().await;
     assert!(!answered.is_finished(), "the rest of the request is awaited");
     stream.write_all(second.as_bytes()).await.expect("written");
--- a/tests/ended/endpoints.rs
+++ b/tests/ended/endpoints.rs
@@ -11,7 +11,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::stand::hear;
+use crate::stand::read_http;
 
 /// Time to serve a call, in milliseconds.
 const SERVICE_TIME_MS: Range<u64> = 10..60;
@@ -160,7 +160,7 @@
 
 fn serve(mut stream: TcpStream, behavior: &EndpointBehavior, mut rng: SmallRng, seen: &SharedObservations) {
     let _ = stream.set_nodelay(true);
-    while let Some(request) = hear(&mut stream) {
+    while let Some(request) = read_http(&mut stream) {
         let id = request.header("X-Correlation-Id").unwrap_or_default().to_string();
         let (first, called) = (record_call(seen, &id), Instant::now());
         std::thread::sleep(Duration::from_millis(rng.random_range(SERVICE_TIME_MS)));
@@ -262,7 +262,7 @@
         for mut stream in listener.incoming().flatten() {
             let seen = seen.clone();
             std::thread::spawn(move || {
-                while let Some(request) = hear(&mut stream) {
+                while let Some(request) = read_http(&mut stream) {
                     let answer = if request.head.starts_with("POST /reports ") {
                         record_reports(&seen, &request.body);
                         "HTTP/1.1 204 No Content\r\n\r\n".to_string()
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use faults::{Child, Scenario};
-use stand::site::{configuration, order};
+use stand::site::{admin_request, configuration};
 use stand::*;
 
 /// Maximum time until a starting relay is ready, after the faults have ended.
@@ -42,7 +42,7 @@
             for mut stream in listener.incoming().flatten() {
                 let (calls, refusing) = (calls.clone(), refusing.clone());
                 std::thread::spawn(move || {
-                    while let Some(call) = hear(&mut stream) {
+                    while let Some(call) = read_http(&mut stream) {
                         if refusing.load(Ordering::Relaxed) {
                             let busy = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
                             if stream.write_all(busy.as_bytes()).is_err() {
@@ -103,7 +103,7 @@
         let file = file.display().to_string();
         let mut environment: Vec<(&str, &str)> = faults.iter().map(|(key, value)| (*key, &**value)).collect();
         environment.extend([("PROXY_CONFIG", &*file), ("PROXY_STATE", &*state)]);
-        Program::launched_with(&environment)
+        Program::spawn_with_env(&environment)
     }
 
     fn start(&self, scenario: &str, seed: u64) -> Program {
@@ -145,11 +145,11 @@
                         std::thread::sleep(Duration::from_millis(20));
                         continue;
                     };
-                    stream.set_read_timeout(Some(FAR)).expect("a deadline");
+                    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a deadline");
                     let class = if n % 2 == 0 { "status-update" } else { "paid-extra" };
                     let body = id.repeat(40);
-                    let request = handed_in(class, &id, 0, TIME_LEFT_MS, body.as_bytes());
-                    let answer = ask(&mut stream, &request).map(|answer| answer.status());
+                    let request = submit_request(class, &id, 0, TIME_LEFT_MS, body.as_bytes());
+                    let answer = send_and_read(&mut stream, &request).map(|answer| answer.status());
                     let mut answers = answers.lock().expect("no panic");
                     match answer {
                         Some(202) => drop(answers.accepted.insert(id, Instant::now())),
@@ -278,7 +278,7 @@
     program.wait_ready(1);
     std::thread::sleep(Duration::from_millis(700));
     program.signal("-HUP");
-    program.logged("configuration read again");
+    program.wait_for_log("configuration read again");
     assert!(relay.injected_faults() > 0, "no fault was injected");
     let answers = clients(&relay, "r", 1, Duration::from_millis(100));
     assert!(!answers.accepted.is_empty() && answers.unanswered.is_empty());
@@ -292,7 +292,7 @@
 
 /// Starts a relay on a folder that it cannot use, and returns the last line of its log.
 fn failed_start(relay: &Relay, faults: &str) -> String {
-    let (code, log) = relay.launch(faults, 1).ended();
+    let (code, log) = relay.launch(faults, 1).wait_exit();
     assert_eq!(code, Some(1), "{log:?}");
     log.last().cloned().unwrap_or_default()
 }
@@ -345,7 +345,7 @@
     let mut program = relay.start(faults, seed);
     let answers = clients(&relay, "d", 8, Duration::from_millis(2500));
     assert!(relay.injected_faults() > 0, "no fault was injected");
-    assert!(program.runs(), "the process exited");
+    assert!(program.is_running(), "the process exited");
     assert_eq!(answers.unanswered, Vec::<String>::new());
     assert_all_delivered(&endpoint, &answers);
     let last = clients(&relay, "e", 2, Duration::from_millis(150));
@@ -395,7 +395,7 @@
     let torn = "[[fault]]\ncall = \"send\"\neffect = \"torn\"\nerror = \"EPIPE\"\nprobability = 1.0\nfrom_ms = 0\nto_ms = 2000\n";
     let _program = relay.start(torn, 1);
     let mut stream = connect(&relay.address);
-    stream.write_all(&handed_in("status-update", "half", 0, 8_000, b"body")).expect("written");
+    stream.write_all(&submit_request("status-update", "half", 0, 8_000, b"body")).expect("written");
     let mut answer = Vec::new();
     let _ = stream.read_to_end(&mut answer);
     assert!(answer.starts_with(b"HTTP/1.1 202"), "{:?}", String::from_utf8_lossy(&answer));
@@ -434,12 +434,12 @@
     program.kill();
     let program = relay.start(&format!("[[step]]\nat_ms = 0\nby_ms = {step_ms}\n"), 1);
     std::thread::sleep(Duration::from_millis(300));
-    let (_, status) = order(&program.door, "GET", "/status");
+    let (_, status) = admin_request(&program.admin_address, "GET", "/status");
     assert_eq!(status["held"], answers.accepted.len(), "all messages are before their deadlines");
     let last = answers.accepted.values().max().expect("one was accepted");
     let until = *last + Duration::from_millis(TIME_LEFT_MS) + SLACK;
     std::thread::sleep(until.saturating_duration_since(Instant::now()));
-    let (_, status) = order(&program.door, "GET", "/status");
+    let (_, status) = admin_request(&program.admin_address, "GET", "/status");
     assert_eq!(status["held"], 0, "all messages are past their deadlines");
 }
 
--- a/tests/idempotency.rs
+++ b/tests/idempotency.rs
@@ -39,9 +39,9 @@
     }
 
     /// Reads the next call, from an open connection until that ends, then from a new one.
-    fn next_call(&self, open: Option<TcpStream>) -> (TcpStream, Heard) {
+    fn next_call(&self, open: Option<TcpStream>) -> (TcpStream, HttpMessage) {
         let mut stream = open.unwrap_or_else(|| accept(&self.endpoint));
-        match hear(&mut stream) {
+        match read_http(&mut stream) {
             Some(request) => (stream, request),
             None => self.next_call(None),
         }
@@ -50,7 +50,7 @@
 
 /// A submit request with additional headers.
 fn submit_request(class: &str, id: &str, headers: &str) -> Vec<u8> {
-    let bytes = handed_in(class, id, 0, 12_000, BODY);
+    let bytes = submit_request(class, id, 0, 12_000, BODY);
     let text = b"X-Account: desk\r\n";
     let position = bytes.windows(text.len()).position(|window| window == text).expect("the header");
     [&bytes[..position], headers.as_bytes(), &bytes[position..]].concat()
@@ -61,11 +61,11 @@
 }
 
 fn submit(program: &Program, bytes: &[u8]) -> (u16, String) {
-    let answer = ask(&mut connect(&program.addresses[0]), bytes).expect("an answer");
+    let answer = send_and_read(&mut connect(&program.addresses[0]), bytes).expect("an answer");
     (answer.status(), String::from_utf8_lossy(&answer.body).into_owned())
 }
 
-fn assert_passed_on_unchanged(call: &Heard, id: &str) {
+fn assert_passed_on_unchanged(call: &HttpMessage, id: &str) {
     assert_eq!(call.header("X-Correlation-Id"), Some(id));
     assert_eq!(call.header("Idempotency-Key"), Some(KEY));
     assert_eq!(call.body, BODY);
@@ -95,7 +95,7 @@
     // The call was refused and has not run. The process is killed, and its successor retries.
     stream.write_all(b"HTTP/1.1 429 Full\r\nRetry-After: 9\r\nContent-Length: 0\r\n\r\n").expect("written");
     // The outcome is in the journal once it was logged and a later message is answered.
-    relay.logged("attempt ended");
+    relay.wait_for_log("attempt ended");
     assert_eq!(submit(&relay, &submit_request("paid-extra", "after", "")).0, 202);
     relay.kill();
     drop(stream);
--- a/tests/link.rs
+++ b/tests/link.rs
@@ -7,8 +7,8 @@
 
 use fleet::keys::Keys;
 use permits::Sharing;
-use permits::earlier::Note;
-use permits::note::Item;
+use permits::item::Item;
+use permits::v2::Datagram;
 use record::model::Evidence;
 use tokio::sync::{mpsc, watch};
 use tulipfall::exchange::{CallEnd, Clock};
@@ -26,17 +26,17 @@
     settle_time: 0,
 };
 /// Far beyond what any of this takes.
-const FAR: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Permits for a destination until so many have come.
 async fn permits(inputs: &mut mpsc::Receiver<Input>, destination: i64, wanted: u16) -> u16 {
     let mut have = 0;
     while have < wanted {
-        let input = tokio::time::timeout(FAR, inputs.recv()).await.expect("a steward answers");
+        let input = tokio::time::timeout(TEST_TIMEOUT, inputs.recv()).await.expect("a steward answers");
         if let Some(Input::Granted(given)) = input
             && given.destination == destination
         {
-            have += given.permits;
+            have += given.grants;
         }
     }
     have
@@ -96,7 +96,7 @@
 
 #[tokio::test]
 async fn relays_get_permits_of_each_other_and_after_a_steward_that_is_not_there() {
-    for sharing in [Sharing::Whole, Sharing::Parts] {
+    for sharing in [Sharing::Whole, Sharing::Shares] {
         let clock = Clock::start();
         // The third relay is listed and never starts.
         let all = free(3);
@@ -149,8 +149,8 @@
     second.updates.send(FleetUpdate::RequestGrants(5, vec![(1000, 1)])).expect("it runs");
     let (mut permitted, mut shut) = (false, false);
     while !(permitted && shut) {
-        match tokio::time::timeout(FAR, second.inputs.recv()).await.expect("both come") {
-            Some(Input::Granted(given)) => permitted |= given.permits > 0,
+        match tokio::time::timeout(TEST_TIMEOUT, second.inputs.recv()).await.expect("both come") {
+            Some(Input::Granted(given)) => permitted |= given.grants > 0,
             Some(Input::PeerReport(hearsay)) => {
                 shut |= matches!(hearsay.condition, ObservedCondition::Failing(_))
             }
@@ -169,17 +169,17 @@
     let mut buffer = [0; 512];
     let permit = async {
         for number in 1.. {
-            let tiers = vec![(1000, 1)];
-            let items = vec![Item::Want { destination: 5, seen: 0, stamp: None, of: 0, tiers }];
-            let note = Note { from: 1, incarnation: 1, number, items }.seal(&Keys::default());
+            let waiting = vec![(1000, 1)];
+            let items = vec![Item::Request { destination: 5, seen: 0, stamp: None, relays: 0, waiting }];
+            let note = Datagram { from: 1, incarnation: 1, number, items }.seal(&Keys::default());
             old.send_to(&note.expect("it has room"), all[0]).await.expect("sent");
             let heard = tokio::time::timeout(Duration::from_millis(50), old.recv_from(&mut buffer)).await;
             let Ok(Ok((n, _))) = heard else { continue };
-            let note = Note::open(&buffer[..n], &Keys::default()).expect("in its own form");
-            if note.items.iter().any(|item| matches!(item, Item::Permit { total: 1.., .. })) {
+            let note = Datagram::open(&buffer[..n], &Keys::default()).expect("in its own form");
+            if note.items.iter().any(|item| matches!(item, Item::Grant { total: 1.., .. })) {
                 return;
             }
         }
     };
-    tokio::time::timeout(FAR, permit).await.expect("a permit comes");
+    tokio::time::timeout(TEST_TIMEOUT, permit).await.expect("a permit comes");
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
-use stand::site::{configuration, order};
+use stand::site::{admin_request, configuration};
 use stand::*;
 
 fn start(folder: &Path, configuration: &Value) -> Program {
@@ -21,7 +21,7 @@
 
 fn ready(listen: &str) -> u16 {
     let call = b"GET /health/ready HTTP/1.1\r\nHost: relay\r\n\r\n";
-    ask(&mut connect(listen), call).expect("an answer").status()
+    send_and_read(&mut connect(listen), call).expect("an answer").status()
 }
 
 /// Reads until the other side closes the connection, and returns the bytes received.
@@ -37,7 +37,7 @@
     let at = endpoint.local_addr().expect("an address").to_string();
     let program = start(&folder("ops-door"), &configuration(&[at]));
     // Incomplete requests, more than the admin endpoint has connections for.
-    let mut incomplete: Vec<TcpStream> = (0..100).map(|_| connect(&program.door)).collect();
+    let mut incomplete: Vec<TcpStream> = (0..100).map(|_| connect(&program.admin_address)).collect();
     for stream in &mut incomplete {
         let _ = stream.write_all(b"GET /status HTTP/1.1\r\nHo");
     }
@@ -52,7 +52,7 @@
                 return n;
             }
             let Ok(mut stream) = TcpStream::connect(&listen) else { continue };
-            let _ = stream.write_all(&handed_in("status-update", &format!("f{n}"), 0, 900, b"x"));
+            let _ = stream.write_all(&submit_request("status-update", &format!("f{n}"), 0, 900, b"x"));
             let _ = begin.send(());
         }
         0
@@ -60,20 +60,22 @@
     // Otherwise, on a loaded machine, all requests could be answered before the flood starts.
     begun.recv_timeout(Duration::from_secs(20)).expect("the flood starts");
     for _ in 0..20 {
-        let (status, body) = order(&program.door, "GET", "/status");
+        let (status, body) = admin_request(&program.admin_address, "GET", "/status");
         assert_eq!((status, &body["state"], &body["ready"]), (200, &json!("active"), &json!(true)));
         assert!(body["held"].is_u64() && body["out"].is_u64() && body["since"].is_f64(), "{body}");
     }
-    assert_eq!(order(&program.door, "POST", "/standby").0, 200);
-    assert_eq!(order(&program.door, "GET", "/status").0, 503);
-    assert_eq!(order(&program.door, "POST", "/active").0, 200);
-    assert_eq!(order(&program.door, "DELETE", "/status").0, 405);
-    assert_eq!(order(&program.door, "GET", "/elsewhere").0, 404);
+    assert_eq!(admin_request(&program.admin_address, "POST", "/standby").0, 200);
+    assert_eq!(admin_request(&program.admin_address, "GET", "/status").0, 503);
+    assert_eq!(admin_request(&program.admin_address, "POST", "/active").0, 200);
+    assert_eq!(admin_request(&program.admin_address, "DELETE", "/status").0, 405);
+    assert_eq!(admin_request(&program.admin_address, "GET", "/elsewhere").0, 404);
     stop.send(()).expect("the flood runs");
     assert!(flood.join().expect("the flood ends") > 0);
     drop((incomplete, silent));
     // Malformed and oversized requests also get an answer.
-    let answer = |bytes: &[u8]| ask(&mut connect(&program.door), bytes).expect("an answer").status();
+    let answer = |bytes: &[u8]| {
+        send_and_read(&mut connect(&program.admin_address), bytes).expect("an answer").status()
+    };
     assert_eq!(answer(b"noise\r\n\r\n"), 400);
     assert_eq!(answer(b"POST /standby HTTP/1.1\r\nContent-Length: 99999\r\n\r\n"), 413);
 }
@@ -84,9 +86,9 @@
     let at = endpoint.local_addr().expect("an address").to_string();
     let program = start(&folder("ops-drain"), &configuration(&[at]));
     let listen = program.addresses[0].clone();
-    let hand = |id: &str| handed_in("status-update", id, 0, 9000, b"body");
+    let hand = |id: &str| submit_request("status-update", id, 0, 9000, b"body");
     let mut used = connect(&listen);
-    assert_eq!(ask(&mut used, &hand("m1")).expect("an answer").status(), 202);
+    assert_eq!(send_and_read(&mut used, &hand("m1")).expect("an answer").status(), 202);
     let untouched = connect(&listen);
     let mut incomplete = connect(&listen);
     let bytes = hand("m2");
@@ -94,28 +96,28 @@
     let idle: Vec<TcpStream> = (0..40)
         .map(|n| {
             let mut stream = connect(&listen);
-            assert_eq!(ask(&mut stream, &hand(&format!("i{n}"))).expect("an answer").status(), 202);
+            assert_eq!(send_and_read(&mut stream, &hand(&format!("i{n}"))).expect("an answer").status(), 202);
             stream
         })
         .collect();
     assert_eq!(ready(&listen), 200);
     let began = Instant::now();
-    assert_eq!(order(&program.door, "POST", "/standby").0, 200);
+    assert_eq!(admin_request(&program.admin_address, "POST", "/standby").0, 200);
     assert_eq!(ready(&listen), 503);
     let idle: Vec<_> = idle
         .into_iter()
         .map(|stream| std::thread::spawn(move || (read_to_close(stream), began.elapsed())))
         .collect();
     // A request on a persistent connection is served, and its answer closes the connection.
-    let heard = ask(&mut used, &hand("m3")).expect("an answer");
+    let heard = send_and_read(&mut used, &hand("m3")).expect("an answer");
     assert_eq!((heard.status(), heard.header("Connection")), (202, Some("close")));
     assert_eq!(read_to_close(used), b"");
     incomplete.write_all(&bytes[bytes.len() - 3..]).expect("written");
-    let heard = hear(&mut incomplete).expect("an answer");
+    let heard = read_http(&mut incomplete).expect("an answer");
     assert_eq!((heard.status(), heard.header("Connection")), (202, Some("close")));
     // New connections are served too.
     let mut new = connect(&listen);
-    assert_eq!(ask(&mut new, &hand("m4")).expect("an answer").status(), 202);
+    assert_eq!(send_and_read(&mut new, &hand("m4")).expect("an answer").status(), 202);
     assert_eq!(read_to_close(new), b"");
     assert_eq!(read_to_close(untouched), b"");
     let mut ends: Vec<Duration> = idle
@@ -136,16 +138,16 @@
     );
     // Accepted messages are still held and delivered.
     let mut call = accept(&endpoint);
-    assert!(hear(&mut call).expect("a call").head.starts_with("POST /v1/messages"));
-    let (status, body) = order(&program.door, "GET", "/status");
+    assert!(read_http(&mut call).expect("a call").head.starts_with("POST /v1/messages"));
+    let (status, body) = admin_request(&program.admin_address, "GET", "/status");
     assert_eq!((status, &body["state"]), (503, &json!("standby")));
     assert!(body["held"].as_u64() > Some(0));
     // Undone: the relay is ready at once, and connections are persistent again.
-    assert_eq!(order(&program.door, "POST", "/active").0, 200);
+    assert_eq!(admin_request(&program.admin_address, "POST", "/active").0, 200);
     assert_eq!(ready(&listen), 200);
     let mut kept = connect(&listen);
     for id in ["m5", "m6"] {
-        let heard = ask(&mut kept, &hand(id)).expect("an answer");
+        let heard = send_and_read(&mut kept, &hand(id)).expect("an answer");
         assert_eq!((heard.status(), heard.header("Connection")), (202, None));
     }
 }
@@ -154,7 +156,7 @@
 fn reload(program: &Program, folder: &Path, text: &str, logged: &str) {
     std::fs::write(folder.join("config.json"), text).expect("a file");
     program.signal("-HUP");
-    program.logged(logged);
+    program.wait_for_log(logged);
 }
 
 #[test]
@@ -167,8 +169,8 @@
     let mut client = connect(&program.addresses[0]);
     let mut classes = |id: &str| {
         let mut status = |class: &str| {
-            let bytes = handed_in(class, &format!("{class}-{id}"), 0, 2000, b"x");
-            ask(&mut client, &bytes).expect("an answer").status()
+            let bytes = submit_request(class, &format!("{class}-{id}"), 0, 2000, b"x");
+            send_and_read(&mut client, &bytes).expect("an answer").status()
         };
         [status("status-update"), status("paid-extra"), status("newcomer")]
     };
@@ -230,11 +232,11 @@
     let mut program = start(&folder, &old);
     let mut client = connect(&program.addresses[0]);
     let mut hand = |class: &str, id: &str| {
-        ask(&mut client, &handed_in(class, id, 0, 15_000, b"x")).expect("an answer").status()
+        send_and_read(&mut client, &submit_request(class, id, 0, 15_000, b"x")).expect("an answer").status()
     };
     let call = || {
         let mut call = accept(&endpoint);
-        let heard = hear(&mut call).expect("a call");
+        let heard = read_http(&mut call).expect("a call");
         (heard.header("X-Correlation-Id").unwrap_or_default().to_string(), call)
     };
     // The charge is in flight when its class becomes idempotent, and the update when its class becomes at-most-once.
@@ -260,7 +262,7 @@
         "s1",
         "accepted as idempotent, so it is retried; the charge and the at-most-once update may have run"
     );
-    let (_, body) = order(&program.door, "GET", "/status");
+    let (_, body) = admin_request(&program.admin_address, "GET", "/status");
     assert_eq!(body["held"], json!(1), "the other messages ended at once: {body}");
 }
 
@@ -269,10 +271,14 @@
     let endpoint = TcpListener::bind("127.0.0.1:0").expect("a socket");
     let at = endpoint.local_addr().expect("an address").to_string();
     let mut program = start(&folder("ops-standby-term"), &configuration(&[at]));
-    assert_eq!(order(&program.door, "POST", "/standby").0, 200);
+    assert_eq!(admin_request(&program.admin_address, "POST", "/standby").0, 200);
     program.terminate();
-    assert_eq!(order(&program.door, "POST", "/active").0, 409, "the relay is still stopping");
-    assert!(program.ended_well());
+    assert_eq!(
+        admin_request(&program.admin_address, "POST", "/active").0,
+        409,
+        "the relay is still stopping"
+    );
+    assert!(program.wait_success());
 }
 
 #[test]
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -19,7 +19,7 @@
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             std::thread::spawn(move || {
-                while hear(&mut stream).is_some() {
+                while read_http(&mut stream).is_some() {
                     if stream.write_all(b"HTTP/1.1 503 Shut\r\nContent-Length: 0\r\n\r\n").is_err() {
                         return;
                     }
@@ -73,7 +73,7 @@
 fn wait_until(mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < FAR, "the condition did not become true in time");
+        assert!(started.elapsed() < TEST_TIMEOUT, "the condition did not become true in time");
     }
 }
 
@@ -90,8 +90,8 @@
     let mut n = 0;
     wait_until(|| {
         n += 1;
-        let request = handed_in("status-update", &format!("m{n}"), 1, 3000, b"x");
-        ask(&mut connect(&first.addresses[0]), &request).expect("an answer");
+        let request = submit_request("status-update", &format!("m{n}"), 1, 3000, b"x");
+        send_and_read(&mut connect(&first.addresses[0]), &request).expect("an answer");
         knows_outage(&files[0], 0)
     });
     let mut second = start(&files[1]);
@@ -127,12 +127,12 @@
     let text = std::fs::read_to_string(&file).expect("a file");
     std::fs::write(&file, text.replace("me = 0", "me = 7")).expect("a file");
     first.signal("-HUP");
-    first.logged("the old one stays");
+    first.wait_for_log("the old one stays");
     configuration(&folder, 0, &addresses[..2], &endpoint);
     assert_eq!(peers(), Some(1));
     configuration(&folder, 0, &addresses, &endpoint);
     first.signal("-HUP");
-    first.logged("configuration read again");
+    first.wait_for_log("configuration read again");
     wait_until(|| peers() == Some(2));
     // The new relay and this one exchange datagrams.
     let _third = start(&configuration(&folder, 2, &addresses, &endpoint));
@@ -142,5 +142,5 @@
     std::fs::write(&file, text.replace("per_s = 8", "per_s = 9").replace("me = 0", "me = 1"))
         .expect("a file");
     first.signal("-HUP");
-    first.logged("needs a restart: destination, peers");
+    first.wait_for_log("needs a restart: destination, peers");
 }
--- a/tests/permits.rs
+++ b/tests/permits.rs
@@ -1,94 +1,87 @@
-//! The module under permits of stewards: when it asks, what it waits for, and what it does alone.
+//! The decision module with limit coordinators: when it sends requests, when it waits for grants, and what it does without them.
 
 mod harness;
 use harness::*;
 use tulipfall::interface::*;
 
-/// One of a hundred, with destination 1 at 40 calls a second and 2 at 4,000: there each may call as it likes.
-fn one_of_many() -> Harness {
+/// Returns one relay of a hundred. Destination 1 has a limit of 40 calls per second. That of destination 2, 4000, is so high that
+/// no relay needs grants.
+fn one_of_a_hundred() -> Harness {
     let mut harness = Harness::new(Settings { senders: 100, coordinators: true, ..settings() });
     harness.list(ListUpdate::Full, vec![entry(1, 1, 40.0), entry(2, 2, 4000.0)]);
     harness
 }
 
-fn permit(harness: &mut Harness, permits: u16) -> Vec<u64> {
-    sent(&harness.event(Event::Granted {
-        destination: DestinationId(1),
-        grants: permits,
-        few_connections: false,
-    }))
+fn grant(harness: &mut Harness, grants: u16) -> Vec<u64> {
+    sent(&harness.event(Event::Granted { destination: DestinationId(1), grants, few_connections: false }))
 }
 
-fn wanted(actions: &[Action]) -> Vec<Vec<(u16, u8)>> {
-    let want = |action: &Action| match action {
+fn requests(actions: &[Action]) -> Vec<Vec<(u16, u8)>> {
+    let request = |action: &Action| match action {
         Action::RequestGrants { destination: DestinationId(1), waiting } => Some(waiting.clone()),
         _ => None,
     };
-    actions.iter().filter_map(want).collect()
+    actions.iter().filter_map(request).collect()
 }
 
 #[test]
-fn where_a_fleet_shares_a_rate_calls_start_as_a_steward_permits_and_by_worth() {
-    let mut harness = one_of_many();
-    assert_eq!(
-        sent(&harness.arrive(1, IDEMPOTENT, 2)),
-        [1],
-        "where its own part is a call at any time it asks nobody"
-    );
+fn in_a_fleet_calls_start_by_grant_in_priority_order() {
+    let mut harness = one_of_a_hundred();
+    assert_eq!(sent(&harness.arrive(1, IDEMPOTENT, 2)), [1], "no request where its own share suffices");
     let first = harness.arrive(2, IDEMPOTENT, 1);
-    assert_eq!((sent(&first), wanted(&first)), (vec![], vec![vec![(1000, 1)]]));
+    assert_eq!((sent(&first), requests(&first)), (vec![], vec![vec![(1000, 1)]]));
     let second = harness.arrive(3, HIGH_VALUE, 1);
-    assert_eq!((sent(&second), wanted(&second)), (vec![], vec![vec![(3000, 1), (1000, 1)]]));
-    assert_eq!(permit(&mut harness, 1), [3]);
-    assert_eq!(permit(&mut harness, 0), [] as [u64; 0]);
+    assert_eq!((sent(&second), requests(&second)), (vec![], vec![vec![(3000, 1), (1000, 1)]]));
+    assert_eq!(grant(&mut harness, 1), [3]);
+    assert_eq!(grant(&mut harness, 0), [] as [u64; 0]);
     assert_eq!(
         sent(&without_times(harness.advance(900 * MS))),
         [] as [u64; 0],
-        "a steward that is heard is waited for"
+        "a coordinator that answers is waited for"
     );
-    assert_eq!(permit(&mut harness, 1), [2]);
+    assert_eq!(grant(&mut harness, 1), [2]);
 }
 
 #[test]
-fn a_sender_that_hears_no_steward_goes_on_alone() {
-    let mut harness = one_of_many();
+fn without_a_coordinator_a_relay_calls_by_local_pacing() {
+    let mut harness = one_of_a_hundred();
     harness.arrive(1, IDEMPOTENT, 1);
     let start = harness.now;
     let at = sent_at(&harness.advance(2 * S));
-    assert!(at.len() == 1 && at[0].0 - start <= S, "it does not wait for long: {at:?}");
-    assert_eq!(sent(&harness.arrive(2, IDEMPOTENT, 1)), [2], "and not again");
+    assert!(at.len() == 1 && at[0].0 - start <= S, "the wait is bounded: {at:?}");
+    assert_eq!(sent(&harness.arrive(2, IDEMPOTENT, 1)), [2], "no second wait");
 }
 
 #[test]
-fn a_permit_ends_no_wait_but_spares_the_turn_after_a_failure() {
-    let mut harness = one_of_many();
+fn a_grant_replaces_the_delay_after_a_failure_but_not_a_requested_wait() {
+    let mut harness = one_of_a_hundred();
     harness.arrive(1, IDEMPOTENT, 1);
-    assert_eq!(permit(&mut harness, 1), [1]);
+    assert_eq!(grant(&mut harness, 1), [1]);
     harness.complete(1, 1, Outcome::ConnectFailed);
-    assert_eq!(permit(&mut harness, 1), [1], "whose turn it is over the fleet is the steward's to say");
-    let told = harness.complete(1, 1, Outcome::Full(Some(S)));
-    assert!(wanted(&told).iter().all(Vec::is_empty), "nothing is wanted within a wait: {told:?}");
-    assert_eq!(permit(&mut harness, 3), [] as [u64; 0], "nor sent");
+    assert_eq!(grant(&mut harness, 1), [1], "the coordinator decides when the fleet calls again");
+    let actions = harness.complete(1, 1, Outcome::Full(Some(S)));
+    assert!(requests(&actions).iter().all(Vec::is_empty), "no request during the wait: {actions:?}");
+    assert_eq!(grant(&mut harness, 3), [] as [u64; 0], "no call during the wait");
     harness.now += S;
     assert_eq!(sent(&without_times(harness.advance(200 * MS))), [] as [u64; 0]);
-    assert_eq!(permit(&mut harness, 1), [1]);
+    assert_eq!(grant(&mut harness, 1), [1]);
 }
 
 #[test]
-fn a_refusal_among_a_hundred_does_not_end_what_waits_for_a_steward() {
-    let mut harness = one_of_many();
+fn one_refusal_does_not_end_messages_that_wait_for_grants() {
+    let mut harness = one_of_a_hundred();
     for id in 1..=3 {
         harness.arrive(id, IDEMPOTENT, 1);
     }
-    assert_eq!(permit(&mut harness, 1), [1]);
+    assert_eq!(grant(&mut harness, 1), [1]);
     let refused = harness.complete(1, 1, Outcome::Full(None));
     assert_eq!(ended(&refused), [], "{refused:?}");
     assert_eq!(ended(&without_times(harness.advance(800 * MS))), []);
 }
 
 #[test]
-fn what_one_sender_learns_of_connections_all_heed() {
-    let mut harness = one_of_many();
+fn a_connection_limit_seen_by_another_relay_applies() {
+    let mut harness = one_of_a_hundred();
     harness.arrive(1, IDEMPOTENT, 1);
     harness.event(Event::Granted { destination: DestinationId(1), grants: 1, few_connections: true });
     harness.now += 100 * MS;
@@ -96,24 +89,25 @@
     assert!(closed.contains(&Action::CloseIdle(TargetId(1))), "{closed:?}");
 }
 
-/// With all slots taken nothing is asked for, and no steward is heard meanwhile.
+/// While all call slots are in use the relay sends no requests, so no coordinator answers. A message that waits for a slot must
+/// not be given up because of that.
 #[test]
-fn what_waits_for_a_slot_is_not_given_up_where_a_steward_leads() {
+fn a_message_that_waits_for_a_slot_is_not_given_up() {
     let mut harness = Harness::new(Settings { senders: 100, coordinators: true, slots: 2, ..settings() });
     harness.list(ListUpdate::Full, vec![entry(1, 1, 10.0), entry(2, 2, 4000.0)]);
     harness.arrive(1, IDEMPOTENT, 1);
-    permit(&mut harness, 1);
+    grant(&mut harness, 1);
     harness.complete(1, 1, Outcome::ConnectFailed);
     harness.arrive(2, IDEMPOTENT, 2);
     harness.arrive(3, IDEMPOTENT, 2);
-    let later = without_times(harness.advance(1500 * MS));
-    assert_eq!(ended(&later), [], "message 1 waits for a slot: {later:?}");
+    let actions = without_times(harness.advance(1500 * MS));
+    assert_eq!(ended(&actions), [], "message 1 waits for a slot: {actions:?}");
 }
 
 #[test]
-fn a_few_senders_ask_nobody() {
+fn a_small_fleet_sends_no_requests() {
     let mut harness = Harness::new(Settings { senders: 3, coordinators: true, ..settings() });
     harness.list(ListUpdate::Full, vec![entry(1, 1, 8.0)]);
     let first = harness.arrive(1, IDEMPOTENT, 1);
-    assert_eq!((sent(&first), wanted(&first)), (vec![1], vec![]));
+    assert_eq!((sent(&first), requests(&first)), (vec![1], vec![]));
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Condvar, Mutex, mpsc};
 
-use stand::site::{configuration, order};
+use stand::site::{admin_request, configuration};
 use stand::*;
 
 /// A relay's folder, its listening socket and its endpoints.
@@ -45,7 +45,7 @@
         let path = |name: &str| self.folder.join(name).display().to_string();
         let (config, state) = (path("config.json"), path("state"));
         let own = [("PROXY_CONFIG", config.as_str()), ("PROXY_STATE", state.as_str())];
-        Program::inherit(&self.clients, &[&own, more].concat())
+        Program::start_with_listener(&self.clients, &[&own, more].concat())
     }
 
     fn start(&self) -> Program {
@@ -56,14 +56,14 @@
 }
 
 fn submission(class: &str, id: &str, dest: i64) -> Vec<u8> {
-    handed_in(class, id, dest, 12_000, b"body")
+    submit_request(class, id, dest, 12_000, b"body")
 }
 
 fn status(stream: &mut TcpStream, bytes: &[u8]) -> u16 {
-    ask(stream, bytes).expect("an answer, and no reset").status()
+    send_and_read(stream, bytes).expect("an answer, and no reset").status()
 }
 
-fn id(call: &Heard) -> String {
+fn id(call: &HttpMessage) -> String {
     call.header("X-Correlation-Id").unwrap_or_default().to_string()
 }
 
@@ -82,10 +82,10 @@
     let mut kept = connect(&scene.listen());
     assert_eq!(status(&mut kept, &submission("paid-extra", "c1", 0)), 202);
     let mut call = accept(&scene.endpoints[0]);
-    assert_eq!(id(&hear(&mut call).expect("a call")), "c1");
+    assert_eq!(id(&read_http(&mut call).expect("a call")), "c1");
     assert_eq!(status(&mut kept, &submission("status-update", "w1", 1)), 202);
     let mut refused = accept(&scene.endpoints[1]);
-    assert_eq!(id(&hear(&mut refused).expect("a call")), "w1");
+    assert_eq!(id(&read_http(&mut refused).expect("a call")), "w1");
     refused.write_all(b"HTTP/1.1 429 Full\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n").expect("written");
     let wait_requested = std::time::Instant::now();
     let untouched = connect(&scene.listen());
@@ -96,28 +96,28 @@
     assert_eq!(status(&mut kept, &submission("status-update", "n1", 9)), 503);
 
     let new = scene.start();
-    assert_eq!(order(&new.door, "GET", "/status").0, 200);
-    let (status_old, body) = order(&old.door, "GET", "/status");
+    assert_eq!(admin_request(&new.admin_address, "GET", "/status").0, 200);
+    let (status_old, body) = admin_request(&old.admin_address, "GET", "/status");
     assert_eq!((status_old, body["state"].as_str()), (503, Some("superseded")));
-    assert_eq!(order(&old.door, "POST", "/standby").0, 409);
+    assert_eq!(admin_request(&old.admin_address, "POST", "/standby").0, 409);
     // Requests on the old process's connections are accepted by the new one, and their answers close the connections.
-    let heard = ask(&mut kept, &submission("status-update", "k1", 0)).expect("an answer");
+    let heard = send_and_read(&mut kept, &submission("status-update", "k1", 0)).expect("an answer");
     assert_eq!((heard.status(), heard.header("Connection")), (202, Some("close")));
     assert_closed(kept);
     half.write_all(&bytes[40..]).expect("written");
-    assert_eq!(hear(&mut half).expect("an answer").status(), 202);
+    assert_eq!(read_http(&mut half).expect("an answer").status(), 202);
     assert_closed(half);
     assert_closed(untouched);
     let mut fresh = connect(&scene.listen());
-    let heard = ask(&mut fresh, &submission("status-update", "f1", 0)).expect("an answer");
+    let heard = send_and_read(&mut fresh, &submission("status-update", "f1", 0)).expect("an answer");
     assert_eq!((heard.status(), heard.header("Connection")), (202, None));
     // The non-idempotent call is answered on the old process's socket, and is never retried.
     call.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("written");
-    assert!(old.ended_well(), "a process with nothing left to do exits by itself");
+    assert!(old.wait_success(), "a process with nothing left to do exits by itself");
     let mut others: Vec<String> = (0..3)
         .map(|_| {
             let mut call = accept(&scene.endpoints[0]);
-            let heard = hear(&mut call).expect("a call");
+            let heard = read_http(&mut call).expect("a call");
             call.write_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
                 .expect("written");
             id(&heard)
@@ -127,7 +127,7 @@
     assert_eq!(others, ["f1", "h1", "k1"]);
     // The wait that the old process received binds the new one.
     let mut again = accept(&scene.endpoints[1]);
-    assert_eq!(id(&hear(&mut again).expect("a call")), "w1");
+    assert_eq!(id(&read_http(&mut again).expect("a call")), "w1");
     assert!(
         wait_requested.elapsed().as_millis() >= 1990,
         "the wait was cut short: {:?}",
@@ -146,15 +146,16 @@
     };
     assert_eq!(status(&mut client, &keyed("w1")), 202);
     let mut refused = accept(&scene.endpoints[1]);
-    let first = hear(&mut refused).expect("a call");
+    let first = read_http(&mut refused).expect("a call");
     refused.write_all(b"HTTP/1.1 429 Full\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n").expect("written");
     // The answer to the next message shows that the old process has processed this outcome.
     assert_eq!(status(&mut client, &submission("status-update", "n1", 9)), 503);
     let new = scene.start();
     let mut again = accept(&scene.endpoints[1]);
-    let second = hear(&mut again).expect("a call");
-    let received =
-        |heard: &Heard| (id(heard), heard.header("Idempotency-Key").map(String::from), heard.body.clone());
+    let second = read_http(&mut again).expect("a call");
+    let received = |heard: &HttpMessage| {
+        (id(heard), heard.header("Idempotency-Key").map(String::from), heard.body.clone())
+    };
     assert_eq!(received(&first), ("w1".into(), Some("a key, unchanged".into()), b"body".to_vec()));
     assert_eq!(received(&second), received(&first));
     again.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("written");
@@ -178,14 +179,14 @@
     std::fs::write(&file, config.to_string()).expect("a file");
     // The test is the other relay, and receives the datagrams.
     let peer = free.into_iter().nth(1).expect("two sockets");
-    peer.set_read_timeout(Some(FAR)).expect("a deadline");
+    peer.set_read_timeout(Some(TEST_TIMEOUT)).expect("a deadline");
     let both = [("TULIPFALL_NOTES", "on"), ("TULIPFALL_PERMITS", "parts")];
     let mut old = scene.launch_with(&both);
     old.wait_ready(1);
     let mut new = scene.launch_with(&both);
     new.wait_ready(1);
-    assert!(old.ended_well(), "a process with nothing left to do exits by itself");
-    assert_eq!(order(&new.door, "GET", "/status").0, 200);
+    assert!(old.wait_success(), "a process with nothing left to do exits by itself");
+    assert_eq!(admin_request(&new.admin_address, "GET", "/status").0, 200);
     // Datagrams of the old process are still in the buffer; those that follow come from the new one.
     let mut buffer = [0; 512];
     peer.set_nonblocking(true).expect("a socket");
@@ -204,7 +205,7 @@
     let mut kept = connect(&scene.listen());
     assert_eq!(status(&mut kept, &submission("paid-extra", "c1", 0)), 202);
     let mut call = accept(&scene.endpoints[0]);
-    assert_eq!(id(&hear(&mut call).expect("a call")), "c1");
+    assert_eq!(id(&read_http(&mut call).expect("a call")), "c1");
     // A process that disconnects at once, and two that send invalid frames.
     for bytes in [&b""[..], b"\x04\0\0\0\0\0\0\0nope", b"\xff\xff\xff\xff\0\0\0\0"] {
         let mut link = UnixStream::connect(scene.folder.join("state/handover")).expect("a link");
@@ -227,23 +228,23 @@
     let mut link = hello("n0", 1);
     let mut lengths = [0; 8];
     link.read_exact(&mut lengths).expect("a state");
-    assert_eq!(order(&old.door, "GET", "/status").1["state"], "handing over");
+    assert_eq!(admin_request(&old.admin_address, "GET", "/status").1["state"], "handing over");
     drop(link);
-    old.logged("was lost; this one goes on");
+    old.wait_for_log("was lost; this one goes on");
     assert_eq!(
         status(&mut kept, &submission("status-update", "k1", 9)),
         503,
         "the old process answers again"
     );
-    assert_eq!(order(&old.door, "GET", "/status").0, 200);
+    assert_eq!(admin_request(&old.admin_address, "GET", "/status").0, 200);
 
     let mut second = scene.start();
     // A third process starts while the second one waits for the first one's call: it waits, too.
     let mut third = scene.launch();
     call.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("written");
     third.wait_ready(1);
-    assert_eq!(order(&third.door, "GET", "/status").0, 200);
-    assert!(second.ended_well());
+    assert_eq!(admin_request(&third.admin_address, "GET", "/status").0, 200);
+    assert!(second.wait_success());
     let mut fresh = connect(&scene.listen());
     assert_eq!(
         status(&mut fresh, &submission("paid-extra", "c1", 0)),
@@ -252,7 +253,7 @@
     );
     assert_eq!(status(&mut fresh, &submission("status-update", "f1", 0)), 202);
     let mut call = accept(&scene.endpoints[0]);
-    assert_eq!(id(&hear(&mut call).expect("a call")), "f1", "the non-idempotent call is not retried");
+    assert_eq!(id(&read_http(&mut call).expect("a call")), "f1", "the non-idempotent call is not retried");
 }
 
 /// Encodes a message of the handover link.
@@ -284,7 +285,7 @@
         let mut kept = connect(&scene.listen());
         assert_eq!(status(&mut kept, &submission("paid-extra", "c1", 0)), 202);
         let mut call = accept(&scene.endpoints[0]);
-        assert_eq!(id(&hear(&mut call).expect("a call")), "c1");
+        assert_eq!(id(&read_http(&mut call).expect("a call")), "c1");
         assert_eq!(status(&mut kept, &submission("status-update", "s1", 9)), 503, "its call is in flight");
         let mut link = UnixStream::connect(scene.folder.join("state/handover")).expect("a link");
         link.write_all(&frame(&serde_json::json!({"Hello": {"version": 1, "name": "n0"}}))).expect("written");
@@ -301,16 +302,16 @@
         drop(link);
         if step != "old, offering" {
             // The old process never serves again, and logs it.
-            old.logged("the process that took over is gone");
+            old.wait_for_log("the process that took over is gone");
             assert_eq!(status(&mut kept, &submission("status-update", "k1", 0)), 503);
-            assert_eq!(order(&old.door, "GET", "/status").1["state"], "superseded");
+            assert_eq!(admin_request(&old.admin_address, "GET", "/status").1["state"], "superseded");
         }
         let new = scene.start();
         let mut fresh = connect(&scene.listen());
         assert_eq!(status(&mut fresh, &submission("status-update", "s2", 0)), 202);
         let mut next = accept(&scene.endpoints[0]);
         assert_eq!(
-            id(&hear(&mut next).expect("a call")),
+            id(&read_http(&mut next).expect("a call")),
             "s2",
             "{step}: the non-idempotent call may have run and is not retried"
         );
@@ -331,7 +332,7 @@
         for mut stream in endpoint.incoming().flatten() {
             let (ran, done) = (ran.clone(), done.clone());
             std::thread::spawn(move || {
-                while let Some(heard) = hear(&mut stream) {
+                while let Some(heard) = read_http(&mut stream) {
                     let _ = ran.send(id(&heard));
                     *done.0.lock().expect("a count") -= 1;
                     done.1.notify_one();
@@ -351,16 +352,16 @@
                 let (mut stream, mut sent) = (connect(&listen), vec![]);
                 while !stop.load(Ordering::Relaxed) {
                     let count = waiting.0.lock().expect("a count");
-                    let room = waiting.1.wait_timeout_while(count, FAR, |count| *count >= 50);
+                    let room = waiting.1.wait_timeout_while(count, TEST_TIMEOUT, |count| *count >= 50);
                     *room.expect("room").0 += 1;
                     let id = format!("{client}-{}", sent.len());
                     let bytes = submission("paid-extra", &id, 0);
-                    let heard = match ask(&mut stream, &bytes) {
+                    let heard = match send_and_read(&mut stream, &bytes) {
                         Some(heard) => heard,
                         // The connection was closed between requests: the request is sent again on a new one.
                         None => {
                             stream = connect(&listen);
-                            ask(&mut stream, &bytes).expect("an answer on a new connection")
+                            send_and_read(&mut stream, &bytes).expect("an answer on a new connection")
                         }
                     };
                     assert_eq!(
@@ -384,7 +385,7 @@
         all.extend(runs.iter().take(100));
         let new = scene.start();
         old.terminate();
-        assert!(old.ended_well());
+        assert!(old.wait_success());
         old = new;
     }
     stop.store(true, Ordering::Relaxed);
@@ -392,10 +393,10 @@
         clients.into_iter().flat_map(|client| client.join().expect("no client met an error")).collect();
     // Every accepted message is sent once.
     while all.len() < sent.len() {
-        all.push(runs.recv_timeout(FAR).expect("a call for each accepted message"));
+        all.push(runs.recv_timeout(TEST_TIMEOUT).expect("a call for each accepted message"));
     }
     old.terminate();
-    assert!(old.ended_well());
+    assert!(old.wait_success());
     all.extend(runs.try_iter());
     all.sort();
     sent.sort();
@@ -410,7 +411,7 @@
         let mut kept = connect(&scene.listen());
         assert_eq!(status(&mut kept, &submission("paid-extra", "c1", 0)), 202);
         let mut call = accept(&scene.endpoints[0]);
-        assert_eq!(id(&hear(&mut call).expect("a call")), "c1");
+        assert_eq!(id(&read_http(&mut call).expect("a call")), "c1");
         let mut new = scene.start();
         let mut fresh = connect(&scene.listen());
         assert_eq!(status(&mut fresh, &submission("status-update", "s1", 1)), 202);
@@ -418,7 +419,7 @@
             old.kill();
         }
         if killed == "old" {
-            new.logged("the old process has gone; 1 of its calls");
+            new.wait_for_log("the old process has gone; 1 of its calls");
         } else {
             new.kill();
             // Requests to the old process are refused, as it no longer owns the folder.
@@ -432,7 +433,7 @@
         assert_eq!(status(&mut fresh, &submission("status-update", "s2", 0)), 202);
         let mut next = accept(&scene.endpoints[0]);
         assert_eq!(
-            id(&hear(&mut next).expect("a call")),
+            id(&read_http(&mut next).expect("a call")),
             "s2",
             "{killed}: the non-idempotent call may have run and is not retried"
         );
@@ -448,11 +449,11 @@
         let mut kept = connect(&scene.listen());
         assert_eq!(status(&mut kept, &submission("status-update", "s1", 0)), 202);
         let mut call = accept(&scene.endpoints[0]);
-        assert_eq!(id(&hear(&mut call).expect("a call")), "s1");
+        assert_eq!(id(&read_http(&mut call).expect("a call")), "s1");
         let mut new = scene.launch_with(&[("TULIPFALL_LOG", "debug")]);
         new.wait_ready(1);
         call.write_all(b"HTTP/1.1 410 Gone\r\n").expect("written");
-        new.logged("heard");
+        new.wait_for_log("heard");
         // The next message accepted is stored after the early answer.
         assert_eq!(status(&mut connect(&scene.listen()), &submission("status-update", "s0", 1)), 202);
         if killed == "old" {
@@ -465,7 +466,7 @@
         let mut fresh = connect(&scene.listen());
         assert_eq!(status(&mut fresh, &submission("status-update", "s2", 0)), 202);
         let mut next = accept(&scene.endpoints[0]);
-        assert_eq!(id(&hear(&mut next).expect("a call")), "s2", "{killed}: the message has ended");
+        assert_eq!(id(&read_http(&mut next).expect("a call")), "s2", "{killed}: the message has ended");
         drop((call, new));
     }
 }
