--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -66,7 +66,7 @@
 }
 
 /// A complete answer, which may not be settled yet.
-pub struct ReceivedAnswer {
+pub struct UnsettledAnswer {
     key: ConnectionKey,
     connection: Connection,
     repeat: RetryEffect,
@@ -77,7 +77,7 @@
     watched_until: Micros,
 }
 
-impl ReceivedAnswer {
+impl UnsettledAnswer {
     /// Returns the answer.
     pub fn answer(&self) -> &Message {
         &self.answer
@@ -222,7 +222,7 @@
     pub async fn call(
         &self, key: &ConnectionKey, call: Option<&OutboundCall>, request: impl FnOnce() -> Message,
         progress: &mut Progress, cancelled: impl Future<Output = ()>,
-    ) -> Result<ReceivedAnswer, Outcome> {
+    ) -> Result<UnsettledAnswer, Outcome> {
         let deadline = self.clock.instant(call.map_or(Micros::MAX, |call| call.deadline));
         let limit = async {
             tokio::select! {
@@ -250,7 +250,7 @@
     /// Reserves capacity for the connection of an unsettled answer, so that its call need not count as in flight. Returns `None` if
     /// the answer is settled or there is no capacity.
     pub fn reserve_settling(
-        &self, answered: &ReceivedAnswer, progress: &Progress,
+        &self, answered: &UnsettledAnswer, progress: &Progress,
     ) -> Option<OwnedSemaphorePermit> {
         if !progress.heard.needs_settling() || answered.closes_at_once(&progress.heard) {
             return None;
@@ -260,9 +260,9 @@
 
     /// Settles whether an answer belongs to its call, and keeps or closes the connection. If the answer may be a duplicate, the
     /// connection is closed, or watched for what else arrives. `progress` records the result.
-    pub async fn settle(&self, answered: ReceivedAnswer, progress: &mut Progress) -> Message {
+    pub async fn settle(&self, answered: UnsettledAnswer, progress: &mut Progress) -> Message {
         let closes_at_once = answered.closes_at_once(&progress.heard);
-        let ReceivedAnswer { key, mut connection, sent, at, answer, watched_until, .. } = answered;
+        let UnsettledAnswer { key, mut connection, sent, at, answer, watched_until, .. } = answered;
         connection.closing = !answer.keep_alive;
         if !progress.heard.needs_settling() {
             self.monitor.policy().record_answer_time(&key, at - sent, at);
@@ -304,7 +304,7 @@
     async fn exchange<L>(
         &self, key: &ConnectionKey, call: Option<&OutboundCall>, request: impl FnOnce() -> Message,
         progress: &mut Progress, mut limit: Pin<&mut L>,
-    ) -> Result<ReceivedAnswer, Outcome>
+    ) -> Result<UnsettledAnswer, Outcome>
     where
         L: Future<Output = Outcome>,
     {
@@ -360,7 +360,7 @@
             call.map_or(Micros::MAX, |call| call.deadline.saturating_add(WATCH_PAST_DEADLINE));
         let (key, at) = (key.clone(), self.clock.now());
         let repeat = repeat(call.map_or(Effect::Idempotent, |call| call.effect));
-        Ok(ReceivedAnswer { key, connection, repeat, sent, at, answer, watched_until })
+        Ok(UnsettledAnswer { key, connection, repeat, sent, at, answer, watched_until })
     }
 
     /// Returns an idle or a new connection, and since when it is idle.
--- a/tests/idempotency.rs
+++ b/tests/idempotency.rs
@@ -49,7 +49,7 @@
 }
 
 /// A submit request with additional headers.
-fn submit_request(class: &str, id: &str, headers: &str) -> Vec<u8> {
+fn submit_request_with_headers(class: &str, id: &str, headers: &str) -> Vec<u8> {
     let bytes = submit_request(class, id, 0, 12_000, BODY);
     let text = b"X-Account: desk\r\n";
     let position = bytes.windows(text.len()).position(|window| window == text).expect("the header");
@@ -75,7 +75,7 @@
 fn a_keyed_message_carries_its_key_through_a_retry_after_it_may_have_run() {
     let setup = TestSetup::new("idempotency-retry");
     let relay = setup.start();
-    assert_eq!(submit(&relay, &submit_request("warning-post", "w1", &key_header(KEY))).0, 202);
+    assert_eq!(submit(&relay, &submit_request_with_headers("warning-post", "w1", &key_header(KEY))).0, 202);
     let (mut stream, first) = setup.next_call(None);
     assert_passed_on_unchanged(&first, "w1");
     // The message may have run, and is retried within its deduplication window.
@@ -89,14 +89,14 @@
 fn a_keyed_message_carries_its_key_through_a_restart() {
     let setup = TestSetup::new("idempotency-restart");
     let mut relay = setup.start();
-    assert_eq!(submit(&relay, &submit_request("warning-post", "w1", &key_header(KEY))).0, 202);
+    assert_eq!(submit(&relay, &submit_request_with_headers("warning-post", "w1", &key_header(KEY))).0, 202);
     let (mut stream, first) = setup.next_call(None);
     assert_passed_on_unchanged(&first, "w1");
     // The call was refused and has not run. The process is killed, and its successor retries.
     stream.write_all(b"HTTP/1.1 429 Full\r\nRetry-After: 9\r\nContent-Length: 0\r\n\r\n").expect("written");
     // The outcome is in the journal once it was logged and a later message is answered.
     relay.wait_for_log("attempt ended");
-    assert_eq!(submit(&relay, &submit_request("paid-extra", "after", "")).0, 202);
+    assert_eq!(submit(&relay, &submit_request_with_headers("paid-extra", "after", "")).0, 202);
     relay.kill();
     drop(stream);
     let successor = setup.start();
@@ -115,11 +115,11 @@
 fn a_key_of_a_message_of_another_class_is_passed_on_and_none_is_added() {
     let setup = TestSetup::new("idempotency-classes");
     let relay = setup.start();
-    assert_eq!(submit(&relay, &submit_request("paid-extra", "p1", &key_header(KEY))).0, 202);
+    assert_eq!(submit(&relay, &submit_request_with_headers("paid-extra", "p1", &key_header(KEY))).0, 202);
     let (mut stream, call) = setup.next_call(None);
     assert_passed_on_unchanged(&call, "p1");
     stream.write_all(OK).expect("written");
-    assert_eq!(submit(&relay, &submit_request("status-update", "s1", "")).0, 202);
+    assert_eq!(submit(&relay, &submit_request_with_headers("status-update", "s1", "")).0, 202);
     let (_stream, call) = setup.next_call(Some(stream));
     assert_eq!((call.header("X-Correlation-Id"), call.header("Idempotency-Key")), (Some("s1"), None));
 }
@@ -140,11 +140,15 @@
         ("paid-extra", twice, "Idempotency-Key is there twice"),
     ];
     for (number, (class, headers, reason)) in faults.iter().enumerate() {
-        let (status, body) = submit(&relay, &submit_request(class, &format!("f{number}"), headers));
+        let (status, body) =
+            submit(&relay, &submit_request_with_headers(class, &format!("f{number}"), headers));
         assert_eq!((status, body.starts_with(reason)), (400, true), "{class}, {headers}: {body}");
     }
     // The longest key is accepted, and none of the rejected messages is called before it.
-    assert_eq!(submit(&relay, &submit_request("warning-post", "w1", &key_header(&longest))).0, 202);
+    assert_eq!(
+        submit(&relay, &submit_request_with_headers("warning-post", "w1", &key_header(&longest))).0,
+        202
+    );
     let (_stream, call) = setup.next_call(None);
     let headers = (call.header("X-Correlation-Id"), call.header("Idempotency-Key"));
     assert_eq!(headers, (Some("w1"), Some(longest.as_str())));
