--- a/crates/proofs/src/backlog.rs
+++ b/crates/proofs/src/backlog.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use serde::Serialize;
-use tulipfall::store::{Journal, Record, Room, Stored, TO_END};
+use tulipfall::store::{Journal, JournalLimits, RESERVED_BYTES_PER_MESSAGE, Record, Stored};
 
 use crate::Failure;
 
@@ -54,7 +54,7 @@
 pub fn run(run: &Run) -> Result<Cost, Failure> {
     remove(run)?;
     let before = resident()?;
-    let room = Room { limit: u64::MAX / 2, to_end: TO_END };
+    let room = JournalLimits { limit: u64::MAX / 2, reserved_per_message: RESERVED_BYTES_PER_MESSAGE };
     let (mut journal, _) = Journal::open(&run.folder, room)?;
     let writes = run.messages.div_ceil(PER_WRITE).max(1);
     let tenth = (writes / 10).max(1);
@@ -71,7 +71,7 @@
         }
     }
     let held = resident()?.saturating_sub(before);
-    let disk = journal.used();
+    let disk = journal.used_bytes();
     drop(journal);
     let replay = replay(run, room)?;
     remove(run)?;
@@ -80,7 +80,7 @@
     Ok(Cost {
         messages,
         disk_bytes: disk as f64 / messages as f64,
-        reserved_bytes: TO_END,
+        reserved_bytes: RESERVED_BYTES_PER_MESSAGE,
         memory_bytes: held as f64 / messages as f64,
         first_write_us: each(first, tenth * PER_WRITE),
         last_write_us: each(last, tenth * PER_WRITE),
@@ -94,7 +94,7 @@
 }
 
 fn accepted(number: u64, body: usize) -> Record {
-    Record::Taken(Stored {
+    Record::Accepted(Stored {
         id: format!("backlog-{number:012}"),
         class: "status-update".into(),
         tenant: Some("desk".into()),
@@ -110,7 +110,7 @@
 }
 
 /// How long a start needs to find the backlog.
-fn replay(run: &Run, room: Room) -> Result<Duration, Failure> {
+fn replay(run: &Run, room: JournalLimits) -> Result<Duration, Failure> {
     let began = Instant::now();
     let (_journal, found) = Journal::open(&run.folder, room)?;
     let took = began.elapsed();
--- a/src/command/opening.rs
+++ b/src/command/opening.rs
@@ -21,7 +21,7 @@
 use tulipfall::net::inbound::Inbound;
 use tulipfall::retry::{until_works, until_works_blocking};
 use tulipfall::standing::{Phase, ProcessStatus};
-use tulipfall::store::{Journal, Owner, own};
+use tulipfall::store::{FolderLock, Journal, lock_folder};
 
 use super::Failure;
 
@@ -102,7 +102,7 @@
 
 /// The state folder, once it is this process's, with the journal in it.
 pub struct OpenState {
-    pub owner: Owner,
+    pub owner: FolderLock,
     pub journal: Journal,
     pub handed_over: Option<(Box<tulipfall::handed::HandoverState>, tulipfall::handover::link::Link)>,
 }
@@ -116,7 +116,7 @@
     let Takeover { owner, handed_over } = if from_other {
         take_over(&config.state, &config.name, clock, standing).await?
     } else {
-        let owner = until_works("state folder", standing, async || own(&config.state)).await;
+        let owner = until_works("state folder", standing, async || lock_folder(&config.state)).await;
         let owner = owner.map_err(|error| format!("{folder}: {error}"))?;
         let other = || format!("{folder}: another process uses this state folder");
         Takeover { owner: owner.ok_or_else(other)?, handed_over: None }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -24,7 +24,7 @@
 use crate::interface::Settings;
 use crate::net::discovery::Told;
 use crate::recording::Recording;
-use crate::store::{Room, TO_END, TO_END_RECORDED};
+use crate::store::{JournalLimits, RESERVED_BYTES_PER_MESSAGE, RESERVED_BYTES_PER_RECORDED_MESSAGE};
 use crate::wire::Names;
 
 pub use error::ConfigError;
@@ -86,15 +86,18 @@
 impl Config {
     /// Space for the journal, in bytes: the disk limit less what the clock's file, the observation snapshots, the files of the
     /// replicated destination set and an SQLite record take of it.
-    pub fn journal_room(&self) -> Room {
+    pub fn journal_room(&self) -> JournalLimits {
         let files = distribution::files_room(self.fleet.as_ref());
         let disk = self.limits.disk - self.snapshots_total() - files - CLOCK_BYTES;
         match &self.record {
-            None => Room { limit: disk, to_end: TO_END },
-            Some(Recording { target: Target::Sqlite { .. }, .. }) => {
-                Room { limit: disk / JOURNAL_DIVISOR_BESIDE_SQLITE, to_end: TO_END_RECORDED }
+            None => JournalLimits { limit: disk, reserved_per_message: RESERVED_BYTES_PER_MESSAGE },
+            Some(Recording { target: Target::Sqlite { .. }, .. }) => JournalLimits {
+                limit: disk / JOURNAL_DIVISOR_BESIDE_SQLITE,
+                reserved_per_message: RESERVED_BYTES_PER_RECORDED_MESSAGE,
+            },
+            Some(_) => {
+                JournalLimits { limit: disk, reserved_per_message: RESERVED_BYTES_PER_RECORDED_MESSAGE }
             }
-            Some(_) => Room { limit: disk, to_end: TO_END_RECORDED },
         }
     }
 
--- a/src/handed.rs
+++ b/src/handed.rs
@@ -10,7 +10,7 @@
 use crate::exchange::Exchange;
 use crate::interface::{MessageId, Micros, TargetId};
 use crate::rules::Relay;
-use crate::store::Mark;
+use crate::store::JournalPosition;
 use crate::wire::Names;
 
 /// A call in flight on the old process's sockets.
@@ -48,7 +48,7 @@
 #[derive(Serialize, Deserialize)]
 pub struct HandoverState {
     /// The end of the journal when this state was taken.
-    pub journal: Mark,
+    pub journal: JournalPosition,
     /// The decision module.
     pub relay: Relay,
     /// The names behind the module's numbers.
--- a/src/handover/new.rs
+++ b/src/handover/new.rs
@@ -23,7 +23,7 @@
 use crate::interface::{Micros, Outcome, Report};
 use crate::retry::until_works;
 use crate::standing::ProcessStatus;
-use crate::store::{Mark, Owner, mark, own};
+use crate::store::{FolderLock, JournalPosition, journal_position, lock_folder};
 
 /// Interval between attempts to lock the folder or to reach its owner, in microseconds.
 const POLL_INTERVAL: Micros = 20_000;
@@ -31,7 +31,7 @@
 /// The result of a start.
 pub struct Takeover {
     /// Ownership of the folder.
-    pub owner: Owner,
+    pub owner: FolderLock,
     /// The state of the old process and the link to it. Without them there is only the journal.
     pub handed_over: Option<(Box<HandoverState>, Link)>,
 }
@@ -90,12 +90,12 @@
     }
 }
 
-async fn own_when_possible(folder: &Path, status: &ProcessStatus) -> std::io::Result<Option<Owner>> {
-    until_works("state folder", status, async || own(folder)).await
+async fn own_when_possible(folder: &Path, status: &ProcessStatus) -> std::io::Result<Option<FolderLock>> {
+    until_works("state folder", status, async || lock_folder(folder)).await
 }
 
-async fn mark_when_possible(folder: &Path, status: &ProcessStatus) -> std::io::Result<Mark> {
-    until_works("state folder", status, async || mark(folder)).await
+async fn mark_when_possible(folder: &Path, status: &ProcessStatus) -> std::io::Result<JournalPosition> {
+    until_works("state folder", status, async || journal_position(folder)).await
 }
 
 async fn pause(clock: Clock) {
--- a/src/recording.rs
+++ b/src/recording.rs
@@ -18,7 +18,7 @@
 use crate::interface::{Micros, Outcome, Settings, Verdict};
 use crate::retry::{MayPass, until_works};
 use crate::standing::ProcessStatus;
-use crate::store::{Heard, Journal, takeover};
+use crate::store::{AttemptEnd, Journal, takeover};
 
 /// Divisor of the disk space: one part is the maximum for entries that wait for the database.
 const DISK_DIVISOR: u64 = 4;
@@ -110,7 +110,7 @@
 }
 
 /// The end of an attempt, as it is recorded.
-pub fn attempt_end(at: Micros, outcome: Outcome, verdict: Verdict, evidence: Evidence) -> Heard {
+pub fn attempt_end(at: Micros, outcome: Outcome, verdict: Verdict, evidence: Evidence) -> AttemptEnd {
     let result = match outcome {
         Outcome::Ok => "ok",
         Outcome::Error => "error",
@@ -128,7 +128,7 @@
         verdict if verdict.may_have_run() => Effect::InDoubt,
         Verdict::Over | Verdict::MayHaveEnded | Verdict::Spent { .. } | Verdict::Owed { .. } => Effect::Never,
     };
-    Heard { at, result: result.into(), effect, evidence: evidence.bounded() }
+    AttemptEnd { at, result: result.into(), effect, evidence: evidence.bounded() }
 }
 
 /// The record cannot be started.
@@ -278,7 +278,7 @@
     if new {
         let mut record = Record::open(&recording.target, relay).await.map_err(&unusable)?;
         let taken = takeover::run(&mut record, relay, journal, clock.now()).await.map_err(&unusable)?;
-        if taken != takeover::Taken::default() {
+        if taken != takeover::Imported::default() {
             info!(
                 "record at {target}: took over {} unfinished and {} finished messages",
                 taken.unfinished, taken.finished
--- a/src/runtime/actions.rs
+++ b/src/runtime/actions.rs
@@ -6,7 +6,7 @@
 use crate::exchange::OutboundCall;
 use crate::fleet::FleetUpdate;
 use crate::interface::*;
-use crate::store::{Begun, Record};
+use crate::store::{AttemptStart, Record};
 
 use super::{Effect, Runtime};
 
@@ -56,10 +56,10 @@
         let exchange = held.exchange.clone();
         held.attempts += 1;
         held.in_flight = Some((target, self.clock.now()));
-        let begun = held.trace.as_mut().map(|trace| {
+        let start = held.trace.as_mut().map(|trace| {
             let (at, endpoint) = (self.clock.now(), cut(&address));
             trace.started(attempt, &endpoint, at);
-            Begun { at, endpoint }
+            AttemptStart { at, endpoint }
         });
         // A first attempt earns a fraction of a retry token for the fleet.
         if attempt == 0 && self.settings.repeats {
@@ -67,7 +67,7 @@
         }
         // With the feature, the attempt is not recorded before it starts: a fault that the proofs have to detect.
         if !cfg!(feature = "broken-order") {
-            self.records.push(Record::Started { id: exchange.id.clone(), attempt, begun });
+            self.records.push(Record::Started { id: exchange.id.clone(), attempt, start });
         }
         debug!(message = exchange.id, attempt, endpoint = &*address, start_by, deadline, "attempt decided");
         let call = OutboundCall { exchange, attempt, target, address, lane, effect, start_by, deadline };
--- a/src/runtime/handover.rs
+++ b/src/runtime/handover.rs
@@ -34,7 +34,7 @@
     /// The state that the journal does not hold.
     fn handover_state(&self) -> HandoverState {
         HandoverState {
-            journal: self.journal.mark(),
+            journal: self.journal.position(),
             relay: self.relay.clone(),
             names: self.names.clone(),
             classes: self.classes.clone(),
@@ -71,7 +71,7 @@
         self.resend(replay.notices);
         let by_id = |stored: Stored| (stored.id.clone(), stored);
         let mut heard: HashMap<String, (Stored, Verdict)> = replay
-            .heard
+            .decided
             .into_iter()
             .map(|(stored, verdict)| (stored.id.clone(), (stored, verdict)))
             .collect();
--- a/src/runtime/inputs.rs
+++ b/src/runtime/inputs.rs
@@ -50,7 +50,7 @@
         if let Some(late) = late {
             self.record_late(late);
         }
-        if self.journal.room(self.unwritten_bytes + receipt.bytes.len()) {
+        if self.journal.has_room(self.unwritten_bytes + receipt.bytes.len()) {
             self.unwritten_bytes += receipt.bytes.len();
             self.records.push(Record::Receipt(receipt));
         } else {
--- a/src/runtime/intake.rs
+++ b/src/runtime/intake.rs
@@ -23,7 +23,8 @@
         };
         let receipt_bytes = receipt.as_ref().map_or(0, |receipt| receipt.bytes.len());
         let key_bytes = exchange.idempotency_key.as_ref().map_or(0, |key| key.as_str().len());
-        let bytes = exchange.body.len() + key_bytes + receipt_bytes + self.journal.to_end() as usize;
+        let bytes =
+            exchange.body.len() + key_bytes + receipt_bytes + self.journal.reserved_per_message() as usize;
         let class = match self.admit(&exchange, bytes) {
             Ok(class) => class,
             Err(answer) => return self.effects.push(reply(answer)),
@@ -35,7 +36,7 @@
         self.relay.handle(self.clock.now(), Event::Arrival(arrival), &mut actions);
         let answer = take_answer(id, &mut actions);
         if answer == Answer::Taken {
-            self.records.push(Record::Taken(self.first_stored(&exchange, class, trace)));
+            self.records.push(Record::Accepted(self.first_stored(&exchange, class, trace)));
             self.records.extend(receipt.map(Record::Receipt));
             self.unwritten_bytes += bytes;
         } else {
@@ -72,12 +73,12 @@
     /// yet, but count.
     fn check_store(&self, bytes: usize) -> Result<(), Answer> {
         let outbox = self.outbox.as_ref();
-        if !self.journal.room(self.unwritten_bytes + bytes) {
-            let waiting = outbox.filter(|_| self.journal.entries() > 0);
+        if !self.journal.has_room(self.unwritten_bytes + bytes) {
+            let waiting = outbox.filter(|_| self.journal.entry_bytes() > 0);
             let advice = waiting.map(|outbox| outbox.retry_advice());
             return Err(Answer::Refused("no room on the disk".into(), advice));
         }
-        let refusal = outbox.and_then(|outbox| outbox.refusal(self.journal.entries(), self.held.len()));
+        let refusal = outbox.and_then(|outbox| outbox.refusal(self.journal.entry_bytes(), self.held.len()));
         refusal.map_or(Ok(()), Err)
     }
 
--- a/src/runtime/outcomes.rs
+++ b/src/runtime/outcomes.rs
@@ -42,7 +42,7 @@
         } else {
             let may_have_run = end.verdict.may_have_run();
             let (id, attempt) = (end.id, end.attempt);
-            self.records.push(Record::Outcome { id, attempt, may_have_run, heard: recorded });
+            self.records.push(Record::Outcome { id, attempt, may_have_run, end: recorded });
         }
         let took = end.answered.unwrap_or_else(|| self.clock.now()) - end.began;
         let CallEnd { attempt, target, outcome, mut verdict, report, .. } = end;
@@ -63,7 +63,7 @@
         };
         held.heard = Some(verdict);
         debug!(message = id, attempt, verdict = verdict.word(), "heard");
-        self.records.push(Record::Heard { id, attempt, verdict });
+        self.records.push(Record::Decided { id, attempt, verdict });
     }
 
     /// Processes the answer to a call. The decision about its message follows with the end of the call.
@@ -159,7 +159,7 @@
     /// Records an event after the end of a message, if there is room. Such entries are not guaranteed, so the ends of messages
     /// held take precedence.
     pub(super) fn record_late(&mut self, late: Late) {
-        if self.outbox.is_some() && self.journal.room(self.unwritten_bytes) {
+        if self.outbox.is_some() && self.journal.has_room(self.unwritten_bytes) {
             self.record(Entry::Late(late));
         }
     }
--- a/src/runtime/recovery.rs
+++ b/src/runtime/recovery.rs
@@ -30,7 +30,7 @@
         for (number, bytes) in replay.entries {
             self.resume_entry(number, &bytes);
         }
-        for (stored, verdict) in replay.heard {
+        for (stored, verdict) in replay.decided {
             self.resume_heard(stored, verdict);
         }
         for stored in replay.messages {
--- a/src/store/bytes.rs
+++ b/src/store/bytes.rs
@@ -1,5 +1,4 @@
-//! The bytes of the record model, the same wherever they lie. Owns their layout. It must never take for a
-//! record what is not a whole one.
+//! Encoding of records. Truncated records are never decoded.
 
 use bytes::Bytes;
 use serde::Serialize;
@@ -9,22 +8,22 @@
 use crate::exchange::{Notice, Receipt};
 use crate::interface::Verdict;
 
-/// Kind of the record of a message that was accepted with an idempotency key: the key, then the record without it.
+/// Tag of a message that was accepted with an idempotency key: the key follows, then the record without it.
 const KEYED: u8 = b'K';
 
-fn put(out: &mut Vec<u8>, bytes: &[u8]) {
+fn put_bytes(out: &mut Vec<u8>, bytes: &[u8]) {
     out.extend_from_slice(&(bytes.len() as u32).to_le_bytes());
     out.extend_from_slice(bytes);
 }
 
-/// The bytes of a record, the same in every backend.
+/// Appends the encoded record.
 pub fn encode(record: &Record, out: &mut Vec<u8>) {
     match record {
-        Record::Taken(s) => {
-            // Before the record as it is without a key, which is what earlier builds wrote.
+        Record::Accepted(s) => {
+            // The key precedes the record without a key, which is the one that earlier builds wrote.
             if let Some(key) = &s.idempotency_key {
                 out.push(KEYED);
-                put(out, key.as_str().as_bytes());
+                put_bytes(out, key.as_str().as_bytes());
             }
             out.push(match (&s.terms, &s.trace) {
                 (None, None) => b'T',
@@ -32,40 +31,40 @@
                 (Some(_), None) => b'C',
                 (Some(_), Some(_)) => b'c',
             });
-            put(out, s.id.as_bytes());
-            put(out, s.class.as_bytes());
+            put_bytes(out, s.id.as_bytes());
+            put_bytes(out, s.class.as_bytes());
             out.push(u8::from(s.tenant.is_some()));
-            put(out, s.tenant.as_deref().unwrap_or_default().as_bytes());
+            put_bytes(out, s.tenant.as_deref().unwrap_or_default().as_bytes());
             out.extend_from_slice(&s.destination.to_le_bytes());
             out.extend_from_slice(&s.due.to_le_bytes());
             out.extend_from_slice(&s.attempts.to_le_bytes());
             out.push(u8::from(s.may_have_run));
-            put(out, &s.body);
-            put_told(out, s.terms.as_ref());
-            put_told(out, s.trace.as_ref());
+            put_bytes(out, &s.body);
+            put_optional_json(out, s.terms.as_ref());
+            put_optional_json(out, s.trace.as_ref());
         }
-        Record::Started { id, attempt, begun } => {
-            out.push(if begun.is_some() { b's' } else { b'S' });
-            put(out, id.as_bytes());
+        Record::Started { id, attempt, start } => {
+            out.push(if start.is_some() { b's' } else { b'S' });
+            put_bytes(out, id.as_bytes());
             out.extend_from_slice(&attempt.to_le_bytes());
-            put_told(out, begun.as_ref());
+            put_optional_json(out, start.as_ref());
         }
-        Record::Outcome { id, attempt, may_have_run, heard } => {
-            out.push(if heard.is_some() { b'o' } else { b'O' });
-            put(out, id.as_bytes());
+        Record::Outcome { id, attempt, may_have_run, end } => {
+            out.push(if end.is_some() { b'o' } else { b'O' });
+            put_bytes(out, id.as_bytes());
             out.extend_from_slice(&attempt.to_le_bytes());
             out.push(u8::from(*may_have_run));
-            put_told(out, heard.as_ref());
+            put_optional_json(out, end.as_ref());
         }
-        Record::Heard { id, attempt, verdict } => {
+        Record::Decided { id, attempt, verdict } => {
             out.push(b'O');
-            put(out, id.as_bytes());
+            put_bytes(out, id.as_bytes());
             out.extend_from_slice(&attempt.to_le_bytes());
-            out.push(heard_byte(*verdict));
+            out.push(verdict_to_byte(*verdict));
         }
         Record::Ended { id, notice } => {
             out.push(b'E');
-            put(out, id.as_bytes());
+            put_bytes(out, id.as_bytes());
             out.push(u8::from(notice.is_some()));
             out.push(u8::from(notice.as_ref().is_some_and(|notice| notice.handed_back)));
             let retry = notice.as_ref().and_then(|notice| notice.retry_in_ms);
@@ -73,19 +72,19 @@
         }
         Record::Acknowledged { id } => {
             out.push(b'A');
-            put(out, id.as_bytes());
+            put_bytes(out, id.as_bytes());
         }
         Record::Receipt(receipt) => {
             out.push(b'R');
-            put(out, receipt.key.as_bytes());
+            put_bytes(out, receipt.key.as_bytes());
             out.extend_from_slice(&receipt.at.to_le_bytes());
             out.extend_from_slice(&receipt.until.to_le_bytes());
-            put(out, &receipt.bytes);
+            put_bytes(out, &receipt.bytes);
         }
         Record::Entry { number, bytes } => {
             out.push(b'X');
             out.extend_from_slice(&number.to_le_bytes());
-            put(out, bytes);
+            put_bytes(out, bytes);
         }
         Record::Recorded(numbers) => {
             out.push(b'Y');
@@ -95,50 +94,51 @@
     }
 }
 
-/// What was heard, in the place of an outcome's flag that an attempt may have run. Earlier builds, which know only that flag, read
-/// an outcome that may have run.
-const HEARD_DELIVERED: u8 = 2;
-const HEARD_OVER: u8 = 3;
-const HEARD_MAY_HAVE_ENDED: u8 = 4;
-const HEARD_SPENT: u8 = 5;
-const HEARD_SPENT_MAY_HAVE_RUN: u8 = 6;
+// Values of a decision, in place of the flag in an outcome that the attempt may have run. Earlier builds, which only know
+// that flag, read an outcome that may have run.
+const DECIDED_DELIVERED: u8 = 2;
+const DECIDED_OVER: u8 = 3;
+const DECIDED_MAY_HAVE_ENDED: u8 = 4;
+const DECIDED_SPENT: u8 = 5;
+const DECIDED_SPENT_MAY_HAVE_RUN: u8 = 6;
 
-fn heard_byte(verdict: Verdict) -> u8 {
+fn verdict_to_byte(verdict: Verdict) -> u8 {
     match verdict {
         Verdict::Owed { may_have_run } => u8::from(may_have_run),
-        Verdict::Delivered => HEARD_DELIVERED,
-        Verdict::Over => HEARD_OVER,
-        Verdict::MayHaveEnded => HEARD_MAY_HAVE_ENDED,
-        Verdict::Spent { may_have_run: false } => HEARD_SPENT,
-        Verdict::Spent { may_have_run: true } => HEARD_SPENT_MAY_HAVE_RUN,
+        Verdict::Delivered => DECIDED_DELIVERED,
+        Verdict::Over => DECIDED_OVER,
+        Verdict::MayHaveEnded => DECIDED_MAY_HAVE_ENDED,
+        Verdict::Spent { may_have_run: false } => DECIDED_SPENT,
+        Verdict::Spent { may_have_run: true } => DECIDED_SPENT_MAY_HAVE_RUN,
     }
 }
 
-/// The verdict that a byte stands for; `None` where it is an outcome's flag.
-fn heard_verdict(byte: u8) -> Option<Verdict> {
+/// The decision that a byte represents. `None` if it is an outcome's flag.
+fn verdict_from_byte(byte: u8) -> Option<Verdict> {
     match byte {
-        HEARD_DELIVERED => Some(Verdict::Delivered),
-        HEARD_OVER => Some(Verdict::Over),
-        HEARD_MAY_HAVE_ENDED => Some(Verdict::MayHaveEnded),
-        HEARD_SPENT => Some(Verdict::Spent { may_have_run: false }),
-        HEARD_SPENT_MAY_HAVE_RUN => Some(Verdict::Spent { may_have_run: true }),
+        DECIDED_DELIVERED => Some(Verdict::Delivered),
+        DECIDED_OVER => Some(Verdict::Over),
+        DECIDED_MAY_HAVE_ENDED => Some(Verdict::MayHaveEnded),
+        DECIDED_SPENT => Some(Verdict::Spent { may_have_run: false }),
+        DECIDED_SPENT_MAY_HAVE_RUN => Some(Verdict::Spent { may_have_run: true }),
         _ => None,
     }
 }
 
-/// What the record needs, and the terms of a class, as JSON, which an older or newer program reads as far as it knows it. Without a
-/// record nothing is added, and the record's kind is the capital letter.
-fn put_told(out: &mut Vec<u8>, told: Option<&impl Serialize>) {
-    if let Some(told) = told {
-        put(out, &serde_json::to_vec(told).unwrap_or_default());
+/// Appends optional data as JSON, of which older and newer builds read the fields they know. Without data nothing is
+/// appended, and the record's tag is the capital letter.
+fn put_optional_json(out: &mut Vec<u8>, optional_json: Option<&impl Serialize>) {
+    if let Some(optional_json) = optional_json {
+        put_bytes(out, &serde_json::to_vec(optional_json).unwrap_or_default());
     }
 }
 
-pub(super) struct Bits<'a>(pub(super) &'a [u8]);
+/// Reads values from the front of a byte slice.
+pub(super) struct Reader<'a>(pub(super) &'a [u8]);
 
-impl<'a> Bits<'a> {
-    pub(super) fn take(&mut self, n: usize) -> Option<&'a [u8]> {
-        let (head, rest) = self.0.split_at_checked(n)?;
+impl<'a> Reader<'a> {
+    pub(super) fn take(&mut self, length: usize) -> Option<&'a [u8]> {
+        let (head, rest) = self.0.split_at_checked(length)?;
         self.0 = rest;
         Some(head)
     }
@@ -156,16 +156,16 @@
     }
 
     fn bytes(&mut self) -> Option<&'a [u8]> {
-        let n = self.number()?;
-        self.take(n as usize)
+        let length = self.number()?;
+        self.take(length as usize)
     }
 
     fn text(&mut self) -> Option<String> {
         String::from_utf8(self.bytes()?.to_vec()).ok()
     }
 
-    /// `Some(None)` where a record of this kind tells nothing more.
-    fn told<T: DeserializeOwned>(&mut self, kind: u8) -> Option<Option<T>> {
+    /// Reads optional JSON data. `Some(None)` if a record with this tag has none.
+    fn optional_json<T: DeserializeOwned>(&mut self, kind: u8) -> Option<Option<T>> {
         if kind.is_ascii_uppercase() {
             return Some(None);
         }
@@ -173,23 +173,23 @@
     }
 }
 
-/// Reads a record; `None` where the bytes are none.
+/// Decodes a record. `None` if the bytes are not a complete record.
 pub fn decode(bytes: &[u8]) -> Option<Record> {
-    let mut bits = Bits(bytes);
-    let kind = bits.array::<1>()?[0];
+    let mut reader = Reader(bytes);
+    let kind = reader.array::<1>()?[0];
     Some(match kind {
         b'T' | b't' | b'C' | b'c' => {
-            let (id, class) = (bits.text()?, bits.text()?);
-            let has_tenant = bits.flag()?;
-            let tenant = Some(bits.text()?).filter(|_| has_tenant);
-            let destination = i64::from_le_bytes(bits.array()?);
-            let due = i64::from_le_bytes(bits.array()?);
-            let attempts = bits.number()?;
-            let may_have_run = bits.flag()?;
-            let body = Bytes::copy_from_slice(bits.bytes()?);
-            let terms = bits.told(if matches!(kind, b'C' | b'c') { b'c' } else { b'T' })?;
-            let trace = bits.told(kind)?;
-            Record::Taken(Stored {
+            let (id, class) = (reader.text()?, reader.text()?);
+            let has_tenant = reader.flag()?;
+            let tenant = Some(reader.text()?).filter(|_| has_tenant);
+            let destination = i64::from_le_bytes(reader.array()?);
+            let due = i64::from_le_bytes(reader.array()?);
+            let attempts = reader.number()?;
+            let may_have_run = reader.flag()?;
+            let body = Bytes::copy_from_slice(reader.bytes()?);
+            let terms = reader.optional_json(if matches!(kind, b'C' | b'c') { b'c' } else { b'T' })?;
+            let trace = reader.optional_json(kind)?;
+            Record::Accepted(Stored {
                 id,
                 class,
                 tenant,
@@ -204,45 +204,52 @@
             })
         }
         KEYED => {
-            let key = bits.text()?.parse().ok()?;
-            match decode(bits.0)? {
-                Record::Taken(stored) if stored.idempotency_key.is_none() => {
-                    Record::Taken(Stored { idempotency_key: Some(key), ..stored })
+            let key = reader.text()?.parse().ok()?;
+            match decode(reader.0)? {
+                Record::Accepted(stored) if stored.idempotency_key.is_none() => {
+                    Record::Accepted(Stored { idempotency_key: Some(key), ..stored })
                 }
                 _ => return None,
             }
         }
-        b'S' | b's' => Record::Started { id: bits.text()?, attempt: bits.number()?, begun: bits.told(kind)? },
+        b'S' | b's' => Record::Started {
+            id: reader.text()?,
+            attempt: reader.number()?,
+            start: reader.optional_json(kind)?,
+        },
         b'O' | b'o' => {
-            let (id, attempt) = (bits.text()?, bits.number()?);
-            let byte = bits.array::<1>()?[0];
-            match heard_verdict(byte) {
-                Some(verdict) if kind == b'O' => Record::Heard { id, attempt, verdict },
-                _ => Record::Outcome { id, attempt, may_have_run: byte != 0, heard: bits.told(kind)? },
+            let (id, attempt) = (reader.text()?, reader.number()?);
+            let byte = reader.array::<1>()?[0];
+            match verdict_from_byte(byte) {
+                Some(verdict) if kind == b'O' => Record::Decided { id, attempt, verdict },
+                _ => {
+                    Record::Outcome { id, attempt, may_have_run: byte != 0, end: reader.optional_json(kind)? }
+                }
             }
         }
         b'E' => {
-            let id = bits.text()?;
-            let (owed, handed_back) = (bits.flag()?, bits.flag()?);
-            let retry = u64::from_le_bytes(bits.array()?);
+            let id = reader.text()?;
+            let (owed, handed_back) = (reader.flag()?, reader.flag()?);
+            let retry = u64::from_le_bytes(reader.array()?);
             let retry_in_ms = Some(retry).filter(|retry| *retry != u64::MAX);
             let notice = owed.then(|| Notice { id: id.clone(), handed_back, retry_in_ms });
             Record::Ended { id, notice }
         }
-        b'A' => Record::Acknowledged { id: bits.text()? },
+        b'A' => Record::Acknowledged { id: reader.text()? },
         b'R' => Record::Receipt(Receipt {
-            key: bits.text()?,
-            at: i64::from_le_bytes(bits.array()?),
-            until: i64::from_le_bytes(bits.array()?),
-            bytes: Bytes::copy_from_slice(bits.bytes()?),
+            key: reader.text()?,
+            at: i64::from_le_bytes(reader.array()?),
+            until: i64::from_le_bytes(reader.array()?),
+            bytes: Bytes::copy_from_slice(reader.bytes()?),
         }),
         b'X' => {
-            let number = u64::from_le_bytes(bits.array()?);
-            Record::Entry { number, bytes: Bytes::copy_from_slice(bits.bytes()?) }
+            let number = u64::from_le_bytes(reader.array()?);
+            Record::Entry { number, bytes: Bytes::copy_from_slice(reader.bytes()?) }
         }
         b'Y' => {
-            let n = bits.number()?;
-            let numbers: Option<Vec<u64>> = (0..n).map(|_| bits.array().map(u64::from_le_bytes)).collect();
+            let length = reader.number()?;
+            let numbers: Option<Vec<u64>> =
+                (0..length).map(|_| reader.array().map(u64::from_le_bytes)).collect();
             Record::Recorded(numbers?)
         }
         _ => return None,
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -1,30 +1,30 @@
-//! What a store cannot do, and whether trying again may help.
+//! Errors of the store, and whether a retry may help.
 
 use transient::{Persistence, persistence};
 
-/// What a store cannot do.
+/// An error of the store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// The disk failed.
     #[error("store: {0}")]
     Io(#[from] std::io::Error),
-    /// A record is damaged where no interrupted write explains it.
+    /// A record is corrupted, and not by an interrupted write.
     #[error("store: {file} is damaged at byte {at}; move it away to start without what it holds")]
     Damaged {
         /// The file.
         file: String,
-        /// Where.
+        /// The offset in the file.
         at: u64,
     },
-    /// A write would go over the limit on the disk.
+    /// A write would exceed the disk limit.
     #[error("store: the limit of {limit} bytes leaves no room for {need} more")]
     Full {
-        /// The limit.
+        /// The limit, in bytes.
         limit: u64,
-        /// What was to be written.
+        /// The size of the write, in bytes.
         need: u64,
     },
-    /// Another process has begun the next segment.
+    /// Another process has created the next segment.
     #[error("store: {file} belongs to another process, which owns this state folder now")]
     Superseded {
         /// The other process's segment.
@@ -33,7 +33,7 @@
 }
 
 impl StoreError {
-    /// Whether trying again may help.
+    /// Whether a retry may help.
     pub fn persistence(&self) -> Persistence {
         match self {
             StoreError::Io(error) => persistence(error),
--- a/src/store/frames.rs
+++ b/src/store/frames.rs
@@ -1,33 +1,33 @@
-//! The bytes of a segment: frames of a length, a checksum and a payload.
+//! Encoding of a segment: frames of a length, a checksum and a payload.
 //!
-//! A payload is a record, or one of two headers. A batch header says how many bytes of frames follow that count only together,
-//! so that a write which was cut leaves nothing of its batch. An abandoned-ends header stands first in a segment and lists
-//! where earlier segments end whose last write failed; what lies behind that point counts for nothing.
+//! A payload is a record, or one of two headers. A batch header states the length of the frames that follow and are valid only
+//! together, so that a torn write leaves nothing of its batch. An abandoned-ends header is the first frame of a segment, and
+//! lists the ends of earlier segments whose last write failed; bytes after these ends are ignored.
 
-use super::bytes::Bits;
+use super::bytes::Reader;
 use super::{Record, decode, encode};
 
-/// Bytes of the length and the checksum before each payload.
-const FRAME: usize = 8;
+/// Length of a frame's header in bytes: the payload's length and checksum.
+const FRAME_HEADER_BYTES: usize = 8;
 /// First byte of the payload of a batch header.
 const BATCH: u8 = b'B';
 /// First byte of the payload of an abandoned-ends header.
 const ABANDONED: u8 = b'P';
-/// Bytes of a batch header: its frame, its kind, and the length and checksum of what follows.
-pub(super) const BATCH_HEADER_BYTES: u64 = FRAME as u64 + 9;
-/// A longer payload is damage, not a record whose end is missing.
-const MAX_PAYLOAD: usize = 1 << 24;
+/// Length of a batch header in bytes: its frame header, its tag, and the length and checksum of the frames that follow.
+pub(super) const BATCH_HEADER_BYTES: u64 = FRAME_HEADER_BYTES as u64 + 9;
+/// Maximum length of a payload. A greater length is corruption, not a torn write.
+const MAX_PAYLOAD_BYTES: usize = 1 << 24;
 
-/// Where a segment ends, of which the bytes after that are of a failed write.
+/// A segment's number and its end, after which the bytes of a failed write may follow.
 pub(super) type SegmentEnd = (u64, u64);
 
-/// Records as bytes, and the bytes that each takes.
+/// Encoded records, and the size of each in bytes.
 pub(super) struct Encoded {
     pub(super) bytes: Vec<u8>,
     pub(super) sizes: Vec<u64>,
 }
 
-/// Encodes records that count only together.
+/// Encodes records that are valid only together.
 pub(super) fn encode_batch(records: &[Record]) -> Encoded {
     let header = if records.len() < 2 { 0 } else { BATCH_HEADER_BYTES as usize };
     let (mut bytes, mut sizes) = (vec![0; header], Vec::with_capacity(records.len()));
@@ -39,15 +39,16 @@
     }
     if header > 0 {
         let (head, frames) = bytes.split_at_mut(header);
-        head[FRAME] = BATCH;
-        head[FRAME + 1..FRAME + 5].copy_from_slice(&(frames.len() as u32).to_le_bytes());
-        head[FRAME + 5..].copy_from_slice(&crc32fast::hash(frames).to_le_bytes());
+        head[FRAME_HEADER_BYTES] = BATCH;
+        head[FRAME_HEADER_BYTES + 1..FRAME_HEADER_BYTES + 5]
+            .copy_from_slice(&(frames.len() as u32).to_le_bytes());
+        head[FRAME_HEADER_BYTES + 5..].copy_from_slice(&crc32fast::hash(frames).to_le_bytes());
         end_frame(head, 0);
     }
     Encoded { bytes, sizes }
 }
 
-/// Encodes where segments end whose last write failed.
+/// Encodes the ends of segments whose last write failed.
 pub(super) fn encode_abandoned(ends: &[SegmentEnd]) -> Vec<u8> {
     let mut bytes = Vec::new();
     let start = begin_frame(&mut bytes);
@@ -60,47 +61,47 @@
     bytes
 }
 
-/// Leaves room for a frame's length and checksum; its payload follows. Returns where it begins.
+/// Reserves the header of a frame; its payload is appended next. Returns the frame's offset.
 fn begin_frame(bytes: &mut Vec<u8>) -> usize {
     let start = bytes.len();
-    bytes.extend_from_slice(&[0; FRAME]);
+    bytes.extend_from_slice(&[0; FRAME_HEADER_BYTES]);
     start
 }
 
-/// Fills in the length and the checksum of the frame that begins there and whose payload reaches to the end.
+/// Fills in the header of the frame at offset `start`, whose payload reaches to the end of `bytes`.
 fn end_frame(bytes: &mut [u8], start: usize) {
-    let payload = &bytes[start + FRAME..];
+    let payload = &bytes[start + FRAME_HEADER_BYTES..];
     let (length, checksum) = (payload.len() as u32, crc32fast::hash(payload));
     bytes[start..start + 4].copy_from_slice(&length.to_le_bytes());
-    bytes[start + 4..start + FRAME].copy_from_slice(&checksum.to_le_bytes());
+    bytes[start + 4..start + FRAME_HEADER_BYTES].copy_from_slice(&checksum.to_le_bytes());
 }
 
-/// What was read of a segment.
+/// A decoded segment.
 #[derive(Default)]
 pub(super) struct Segment {
-    /// Its records in order, each with its size and the offset at which its batch begins.
+    /// Its records in order, each with its size and the offset of its batch.
     pub(super) records: Vec<(Record, u64, u64)>,
     /// The ends of earlier segments that its header lists.
     pub(super) abandoned: Vec<SegmentEnd>,
-    /// Bytes that were read as whole batches.
-    pub(super) whole: u64,
-    /// Bytes of the file.
+    /// Length of the complete batches, in bytes.
+    pub(super) valid_bytes: u64,
+    /// Length of the file, in bytes.
     pub(super) length: u64,
-    /// Why no more was read, if it was not the end of the file.
+    /// Why decoding stopped before the end of the file, if it did.
     pub(super) stop: Option<Stop>,
 }
 
-/// Why a segment was not read to its end.
+/// Why a segment was not decoded to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stop {
-    /// A write was cut here; nothing follows it.
+    /// A torn write at the end of the file.
     Torn,
-    /// The bytes are no record, and no cut explains that.
+    /// Invalid bytes that a torn write does not explain.
     Damaged,
 }
 
 impl Segment {
-    /// Reads the bytes of a segment as far as they make sense.
+    /// Decodes a segment, up to its first invalid byte.
     pub(super) fn read(bytes: &[u8]) -> Self {
         let mut segment = Segment { length: bytes.len() as u64, ..Segment::default() };
         let mut at = 0;
@@ -108,21 +109,21 @@
             match segment.read_batch(&bytes[at..], at as u64) {
                 Ok(used) => at += used,
                 Err(stop) => {
-                    // A file system may leave zeros for bytes that it did not write.
+                    // A file system may leave zeros in place of bytes that it did not write.
                     let zeros = bytes[at..].iter().all(|byte| *byte == 0);
                     segment.stop = Some(if zeros { Stop::Torn } else { stop });
                     break;
                 }
             }
         }
-        segment.whole = at as u64;
+        segment.valid_bytes = at as u64;
         segment
     }
 
-    /// Reads one batch; returns its bytes.
+    /// Decodes one batch, and returns its length in bytes.
     fn read_batch(&mut self, bytes: &[u8], at: u64) -> Result<usize, Stop> {
         let payload = read_frame(bytes)?;
-        let used = FRAME + payload.len();
+        let used = FRAME_HEADER_BYTES + payload.len();
         match payload.first() {
             Some(&BATCH) => {
                 let frames = batch_frames(payload, &bytes[used..])?;
@@ -130,7 +131,7 @@
                 while inner < frames.len() {
                     let payload = read_frame(&frames[inner..]).map_err(|_| Stop::Damaged)?;
                     self.push(payload, at)?;
-                    inner += FRAME + payload.len();
+                    inner += FRAME_HEADER_BYTES + payload.len();
                 }
                 Ok(used + frames.len())
             }
@@ -147,33 +148,33 @@
 
     fn push(&mut self, payload: &[u8], at: u64) -> Result<(), Stop> {
         let record = decode(payload).ok_or(Stop::Damaged)?;
-        self.records.push((record, (payload.len() + FRAME) as u64, at));
+        self.records.push((record, (payload.len() + FRAME_HEADER_BYTES) as u64, at));
         Ok(())
     }
 }
 
-/// The payload of the frame with which the bytes begin.
+/// The payload of the first frame.
 fn read_frame(bytes: &[u8]) -> Result<&[u8], Stop> {
-    let mut bits = Bits(bytes);
-    let (length, checksum) = bits.number().zip(bits.number()).ok_or(Stop::Torn)?;
+    let mut reader = Reader(bytes);
+    let (length, checksum) = reader.number().zip(reader.number()).ok_or(Stop::Torn)?;
     let length = length as usize;
-    if length > MAX_PAYLOAD {
+    if length > MAX_PAYLOAD_BYTES {
         return Err(Stop::Damaged);
     }
-    let payload = bits.take(length).ok_or(Stop::Torn)?;
-    match (crc32fast::hash(payload) == checksum, bits.0.is_empty()) {
+    let payload = reader.take(length).ok_or(Stop::Torn)?;
+    match (crc32fast::hash(payload) == checksum, reader.0.is_empty()) {
         (true, _) => Ok(payload),
         (false, true) => Err(Stop::Torn),
         (false, false) => Err(Stop::Damaged),
     }
 }
 
-/// The frames that a batch header announces.
+/// The frames that belong to a batch header.
 fn batch_frames<'a>(header: &[u8], following: &'a [u8]) -> Result<&'a [u8], Stop> {
-    let mut bits = Bits(&header[1..]);
-    let (length, checksum) = bits.number().zip(bits.number()).ok_or(Stop::Damaged)?;
-    // A write that was cut leaves fewer bytes than announced; all of them with another checksum are damage.
-    let frames = Bits(following).take(length as usize).ok_or(Stop::Torn)?;
+    let mut reader = Reader(&header[1..]);
+    let (length, checksum) = reader.number().zip(reader.number()).ok_or(Stop::Damaged)?;
+    // A torn write leaves fewer bytes than the header states; all of them with a wrong checksum are corruption.
+    let frames = Reader(following).take(length as usize).ok_or(Stop::Torn)?;
     if crc32fast::hash(frames) == checksum { Ok(frames) } else { Err(Stop::Damaged) }
 }
 
--- a/src/store/journal.rs
+++ b/src/store/journal.rs
@@ -1,7 +1,7 @@
 //! The journal: numbered segments of framed records, the write-ahead log of the relay.
 //!
-//! The files never hold more than the limit, and nothing unfinished is dropped. A write that fails leaves the journal as it
-//! was: what it wrote in part is cut off or, where that fails too, stays behind an end that the next segment declares.
+//! The files never exceed the limit, and nothing unfinished is dropped. A failed write leaves the journal unchanged: its bytes
+//! are truncated or, if that fails too, stay after an end that the next segment declares.
 
 use std::collections::{HashSet, VecDeque};
 use std::io::ErrorKind;
@@ -10,118 +10,121 @@
 use record::model::{MOST_ATTEMPT, MOST_ENTRY};
 use tracing::{info, warn};
 
-use super::book::Book;
 use super::frames::{self, BATCH_HEADER_BYTES, SegmentEnd, Stop};
+use super::index::Index;
 use super::storage::{Folder, Storage, newest};
 use super::{Record, Replay, StoreError};
 use crate::interface::Micros;
 
-/// A segment that has so many bytes is followed by a new one.
-const SEGMENT: u64 = 128 * 1024;
-/// Files are counted in whole blocks.
-const BLOCK: u64 = 512;
-/// Kept free for each message held, so that its attempts, its end and its acknowledgement can be recorded:
-/// twelve starts and outcomes, and two more records, each with an id of at most 64 bytes.
-/// Each may stand in a batch of its own with what belongs to other messages.
-pub const TO_END: u64 = 2304 + 26 * BATCH_HEADER_BYTES;
-/// The same where ends are recorded: starts and outcomes then tell where and on what evidence, and the entry
-/// itself holds all of them once more.
-pub const TO_END_RECORDED: u64 = TO_END + 12 * (256 + 640) + MOST_ENTRY + 12 * MOST_ATTEMPT;
-/// Kept free for noting again what is live in the oldest segment: its size, a record over that, and blocks.
-const TO_COMPACT: u64 = 2 * SEGMENT;
-/// Segments in a row that are left with a part of a failed write, at the most.
-const MAX_ABANDONED: usize = 4;
-
-/// The journal: numbered segments of framed records, written in order and removed from the oldest on, once
-/// nothing in them is live. Invariant: the files together, in whole blocks, never exceed `limit`.
+/// Size from which a segment is followed by a new one, in bytes.
+const SEGMENT_BYTES: u64 = 128 * 1024;
+/// Size of a disk block, in bytes. Files are counted in whole blocks.
+const BLOCK_BYTES: u64 = 512;
+/// Bytes reserved for each held message, so that its attempts, its end and its acknowledgement can be written: twelve starts
+/// and outcomes, and two more records, each with an id of at most 64 bytes, and each possibly in a batch of its own.
+pub const RESERVED_BYTES_PER_MESSAGE: u64 = 2304 + 26 * BATCH_HEADER_BYTES;
+/// Bytes reserved for each held message if ends are recorded in a database: starts and outcomes then include the endpoint
+/// and the evidence, and the entry contains all of them again.
+pub const RESERVED_BYTES_PER_RECORDED_MESSAGE: u64 =
+    RESERVED_BYTES_PER_MESSAGE + 12 * (256 + 640) + MOST_ENTRY + 12 * MOST_ATTEMPT;
+/// Bytes reserved for compaction, which writes the live records of the oldest segment again: the segment's size, one record
+/// beyond it, and rounding to blocks.
+const COMPACTION_RESERVE_BYTES: u64 = 2 * SEGMENT_BYTES;
+/// Maximum number of successive segments that may end with a part of a failed write.
+const MAX_ABANDONED_ENDS: usize = 4;
+
+/// The journal: numbered segments of framed records. They are written in order, and removed from the oldest on once they hold
+/// no live records. Invariant: the total size of the files, in whole blocks, never exceeds `limit`.
 #[derive(Debug)]
 pub struct Journal {
     storage: Box<dyn Storage>,
     limit: u64,
-    /// Kept free for each message held.
-    to_end: u64,
+    /// Bytes reserved for each held message.
+    reserved_per_message: u64,
     segments: VecDeque<Segment>,
     /// The state of the newest segment.
     tail: Tail,
-    /// Segments that end before their files do, which no header on the disk declares yet.
+    /// Ends of segments before the ends of their files that no header on the disk declares yet.
     abandoned: Vec<SegmentEnd>,
-    /// The last attempt to free old segments failed.
+    /// Whether the last attempt to remove old segments failed.
     reclaim_failed: bool,
-    book: Book,
+    index: Index,
 }
 
 /// The state of the newest segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Tail {
-    /// Of an earlier process: the next write begins a new segment.
+    /// It is an earlier process's: the next write creates a new segment.
     Closed,
-    /// It ends with the last batch that was written.
+    /// It ends with the last complete batch.
     Clean,
-    /// A part of a failed write may follow that.
+    /// A part of a failed write may follow the last complete batch.
     Dirty,
 }
 
-/// The room that a journal has.
+/// Size limits of a journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Room {
-    /// Bytes that its files may have together.
+pub struct JournalLimits {
+    /// Maximum total size of the files, in bytes.
     pub limit: u64,
-    /// Bytes kept free for each message held: [`TO_END`] or [`TO_END_RECORDED`].
-    pub to_end: u64,
+    /// Bytes reserved for each held message: [`RESERVED_BYTES_PER_MESSAGE`] or [`RESERVED_BYTES_PER_RECORDED_MESSAGE`].
+    pub reserved_per_message: u64,
 }
 
 #[derive(Debug)]
 struct Segment {
     number: u64,
-    /// Bytes of whole batches.
+    /// Length of the complete batches, in bytes.
     bytes: u64,
-    /// Bytes that a failed write may have left after them.
-    waste: u64,
-    live: u64,
+    /// Maximum number of bytes of a failed write after them.
+    failed_write_bytes: u64,
+    live_records: u64,
 }
 
 impl Segment {
-    /// Bytes of its file at the most.
-    fn on_disk(&self) -> u64 {
-        self.bytes + self.waste
+    /// Maximum length of its file, in bytes.
+    fn file_bytes(&self) -> u64 {
+        self.bytes + self.failed_write_bytes
     }
 }
 
-/// How far a journal goes: the number of its newest segment, and the bytes of its file. Whoever writes changes it.
-pub type Mark = (u64, u64);
+/// The end of a journal: the number of its newest segment, and the length of its file in bytes. Each write changes it.
+pub type JournalPosition = (u64, u64);
 
-/// How far the journal of a folder goes that this process owns and has not opened yet.
+/// The position of a journal that this process owns and has not opened yet.
 ///
 /// # Errors
-/// Where the folder cannot be read.
-pub fn mark(folder: &Path) -> std::io::Result<Mark> {
+/// If the folder cannot be read.
+pub fn journal_position(folder: &Path) -> std::io::Result<JournalPosition> {
     Ok(newest(folder)?.unwrap_or_default())
 }
 
-fn shift(segments: &mut VecDeque<Segment>, number: u64, by: i64) {
+fn adjust_live_count(segments: &mut VecDeque<Segment>, number: u64, by: i64) {
     if let Some(segment) = segments.iter_mut().find(|segment| segment.number == number) {
-        segment.live = segment.live.saturating_add_signed(by);
+        segment.live_records = segment.live_records.saturating_add_signed(by);
     }
 }
 
-fn blocks(bytes: u64) -> u64 {
-    bytes.div_ceil(BLOCK) * BLOCK
+fn round_up_to_blocks(bytes: u64) -> u64 {
+    bytes.div_ceil(BLOCK_BYTES) * BLOCK_BYTES
 }
 
 impl Journal {
     /// Opens the journal of a folder and replays it. Nothing is written.
     ///
     /// # Errors
-    /// Where the folder cannot be read, or a record is damaged other than by an interrupted write.
-    pub fn open(folder: &Path, room: Room) -> Result<(Self, Replay), StoreError> {
+    /// If the folder cannot be read, or a record is corrupted other than by an interrupted write.
+    pub fn open(folder: &Path, room: JournalLimits) -> Result<(Self, Replay), StoreError> {
         Self::replay_from(Box::new(Folder::open(folder)?), room)
     }
 
     /// Opens a journal on any storage and replays it.
     ///
     /// # Errors
-    /// Where the storage cannot be read, or a record is damaged other than by an interrupted write.
-    pub fn replay_from(mut storage: Box<dyn Storage>, room: Room) -> Result<(Self, Replay), StoreError> {
+    /// If the storage cannot be read, or a record is corrupted other than by an interrupted write.
+    pub fn replay_from(
+        mut storage: Box<dyn Storage>, room: JournalLimits,
+    ) -> Result<(Self, Replay), StoreError> {
         let mut read = Vec::new();
         for number in storage.segments()? {
             read.push((number, frames::Segment::read(&storage.read(number)?)));
@@ -129,107 +132,116 @@
         let mut journal = Journal {
             storage,
             limit: room.limit,
-            to_end: room.to_end,
+            reserved_per_message: room.reserved_per_message,
             segments: VecDeque::new(),
             tail: Tail::Closed,
             abandoned: Vec::new(),
             reclaim_failed: false,
-            book: Book::default(),
+            index: Index::default(),
         };
-        let ends = journal.check_ends(&read)?;
+        let ends = journal.segment_ends(&read)?;
         for ((number, segment), end) in read.into_iter().zip(ends) {
-            journal.take_segment(number, segment, end);
+            journal.apply_segment(number, segment, end);
         }
-        let replay = journal.book.replay();
+        let replay = journal.index.replay();
         journal.reclaim();
         Ok((journal, replay))
     }
 
-    /// Where each segment ends. A segment that is cut has to be the last one with records, or its end has to be declared by
-    /// the next one with records.
-    fn check_ends(&mut self, read: &[(u64, frames::Segment)]) -> Result<Vec<u64>, StoreError> {
+    /// The end of each segment. A torn segment has to be the last one with records, or its end has to be declared by the
+    /// next one with records.
+    fn segment_ends(&mut self, read: &[(u64, frames::Segment)]) -> Result<Vec<u64>, StoreError> {
         let mut ends = Vec::new();
         for (i, (number, segment)) in read.iter().enumerate() {
-            let next = read[i + 1..].iter().map(|(_, later)| later).find(|later| later.whole > 0);
+            let next = read[i + 1..].iter().map(|(_, later)| later).find(|later| later.valid_bytes > 0);
             let declared = next.and_then(|next| next.abandoned.iter().find(|(n, _)| n == number));
             let torn = segment.stop == Some(Stop::Torn);
             match (declared, next) {
-                (Some((_, end)), _) if segment.whole >= *end => ends.push(*end),
-                (None, _) if segment.stop.is_none() => ends.push(segment.whole),
+                (Some((_, end)), _) if segment.valid_bytes >= *end => ends.push(*end),
+                (None, _) if segment.stop.is_none() => ends.push(segment.valid_bytes),
                 (None, None) if torn => {
-                    warn!("{} ends with a part of a write, which is dropped", self.storage.name(*number));
-                    self.abandoned.push((*number, segment.whole));
-                    ends.push(segment.whole);
+                    warn!("{} ends with a torn write, which is dropped", self.storage.name(*number));
+                    self.abandoned.push((*number, segment.valid_bytes));
+                    ends.push(segment.valid_bytes);
+                }
+                _ => {
+                    return Err(StoreError::Damaged {
+                        file: self.storage.name(*number),
+                        at: segment.valid_bytes,
+                    });
                 }
-                _ => return Err(StoreError::Damaged { file: self.storage.name(*number), at: segment.whole }),
             }
         }
         Ok(ends)
     }
 
-    /// Takes the records of a segment up to its end.
-    fn take_segment(&mut self, number: u64, segment: frames::Segment, end: u64) {
-        let waste = segment.length.saturating_sub(end);
-        self.segments.push_back(Segment { number, bytes: end, waste, live: 0 });
+    /// Applies the records of a segment up to its end.
+    fn apply_segment(&mut self, number: u64, segment: frames::Segment, end: u64) {
+        let failed_write_bytes = segment.length.saturating_sub(end);
+        self.segments.push_back(Segment { number, bytes: end, failed_write_bytes, live_records: 0 });
         for (record, size, at) in &segment.records {
             if *at < end {
-                self.note(record, number, *size);
+                self.apply(record, number, *size);
             }
         }
     }
 
-    fn note(&mut self, record: &Record, number: u64, size: u64) {
+    fn apply(&mut self, record: &Record, number: u64, size: u64) {
         let segments = &mut self.segments;
-        self.book.apply(record, number, size, |number, by| shift(segments, number, by));
+        self.index.apply(record, number, size, |number, by| adjust_live_count(segments, number, by));
     }
 
-    /// How far it goes.
-    pub fn mark(&self) -> Mark {
-        self.segments.back().map_or((0, 0), |segment| (segment.number, segment.on_disk()))
+    /// The journal's end.
+    pub fn position(&self) -> JournalPosition {
+        self.segments.back().map_or((0, 0), |segment| (segment.number, segment.file_bytes()))
     }
 
-    /// What the files take on the disk.
-    pub fn used(&self) -> u64 {
-        self.segments.iter().map(|segment| blocks(segment.on_disk())).sum()
+    /// Total size of the files on the disk, in bytes.
+    pub fn used_bytes(&self) -> u64 {
+        self.segments.iter().map(|segment| round_up_to_blocks(segment.file_bytes())).sum()
     }
 
-    /// Whether a message with so many bytes can be taken on, with room left to record its end.
-    pub fn room(&self, bytes: usize) -> bool {
+    /// Whether a message of this size in bytes can be accepted, with space left for its end.
+    pub fn has_room(&self, bytes: usize) -> bool {
         let need = bytes as u64;
-        self.used() + need + (self.book.unfinished() + 1) * self.to_end + TO_COMPACT <= self.limit
+        self.used_bytes()
+            + need
+            + (self.index.unfinished() + 1) * self.reserved_per_message
+            + COMPACTION_RESERVE_BYTES
+            <= self.limit
     }
 
-    /// What it holds: ids of messages, and keys of receipts.
+    /// Ids of messages and keys of receipts and entries.
     pub fn ids(&self) -> HashSet<String> {
-        self.book.ids()
+        self.index.ids()
     }
 
-    /// What a start finds.
+    /// The state that is restored at a start.
     pub fn replay(&self) -> Replay {
-        self.book.replay()
+        self.index.replay()
     }
 
-    /// Kept free for each message held.
-    pub fn to_end(&self) -> u64 {
-        self.to_end
+    /// Bytes reserved for each held message.
+    pub fn reserved_per_message(&self) -> u64 {
+        self.reserved_per_message
     }
 
-    /// Bytes of entries that are not known to be in the database.
-    pub fn entries(&self) -> u64 {
-        self.book.entries()
+    /// Total size of the entries that are not known to be in the database, in bytes.
+    pub fn entry_bytes(&self) -> u64 {
+        self.index.entry_bytes()
     }
 
-    /// Writes records, all or none. Old segments that cannot be freed are no error; that is tried again with the next write.
+    /// Writes records atomically. A failure to remove old segments is no error; it is retried with the next write.
     ///
     /// # Errors
-    /// Where the limit or the disk does not let it. Nothing was written then, and the same may be tried again.
+    /// If the limit would be exceeded or the disk fails. Nothing was written then, and the write may be retried.
     pub fn append(&mut self, now: Micros, records: &[Record]) -> Result<(), StoreError> {
         if let Err(error) = self.write(records) {
             self.reclaim();
             return Err(error);
         }
         let segments = &mut self.segments;
-        self.book.forget_receipts(now, |number, by| shift(segments, number, by));
+        self.index.expire_receipts(now, |number, by| adjust_live_count(segments, number, by));
         self.reclaim();
         Ok(())
     }
@@ -240,7 +252,7 @@
         }
         let frames::Encoded { mut bytes, sizes } = frames::encode_batch(records);
         let need = bytes.len() as u64;
-        if self.used() + blocks(need) + BLOCK > self.limit {
+        if self.used_bytes() + round_up_to_blocks(need) + BLOCK_BYTES > self.limit {
             return Err(StoreError::Full { limit: self.limit, need });
         }
         self.make_writable()?;
@@ -250,83 +262,85 @@
         }
         let written = bytes.len() as u64;
         if let Err(error) = self.storage.append(&bytes) {
-            segment.waste = written;
+            segment.failed_write_bytes = written;
             self.tail = Tail::Dirty;
-            // What cannot be cut off now is cut off, or left behind, before the next write.
-            let _ = self.cut_back();
+            // If this fails, the next write truncates the bytes or abandons the segment.
+            let _ = self.truncate_tail();
             return Err(error.into());
         }
         segment.bytes += written;
         self.abandoned.clear();
         let number = segment.number;
         for (record, size) in records.iter().zip(sizes) {
-            self.note(record, number, size);
+            self.apply(record, number, size);
         }
         Ok(())
     }
 
-    /// Cuts off what a failed write may have left.
-    fn cut_back(&mut self) -> std::io::Result<()> {
+    /// Truncates the bytes of a failed write.
+    fn truncate_tail(&mut self) -> std::io::Result<()> {
         if let Some(segment) = self.segments.back_mut() {
             self.storage.truncate(segment.bytes)?;
-            segment.waste = 0;
+            segment.failed_write_bytes = 0;
         }
         self.tail = Tail::Clean;
         Ok(())
     }
 
-    /// Sees to it that the newest segment may be appended to.
+    /// Makes the newest segment ready for an append, or creates a new one.
     fn make_writable(&mut self) -> Result<(), StoreError> {
         if self.tail == Tail::Dirty
-            && let Err(error) = self.cut_back()
+            && let Err(error) = self.truncate_tail()
         {
-            // Each end that is left behind takes room, so that only some are.
-            if self.abandoned.len() >= MAX_ABANDONED {
+            // Each abandoned end takes space, so their number is limited.
+            if self.abandoned.len() >= MAX_ABANDONED_ENDS {
                 return Err(error.into());
             }
             let left = self.segments.back().map(|segment| (segment.number, segment.bytes));
-            self.begin_segment()?;
+            self.create_segment()?;
             self.abandoned.extend(left);
             return Ok(());
         }
-        let full = self.segments.back().is_none_or(|segment| segment.bytes >= SEGMENT);
+        let full = self.segments.back().is_none_or(|segment| segment.bytes >= SEGMENT_BYTES);
         if self.tail == Tail::Closed || full {
-            self.begin_segment()?;
+            self.create_segment()?;
         }
         Ok(())
     }
 
-    fn begin_segment(&mut self) -> Result<(), StoreError> {
+    fn create_segment(&mut self) -> Result<(), StoreError> {
         let number = self.segments.back().map_or(1, |segment| segment.number + 1);
         self.storage.create(number).map_err(|error| match error.kind() {
             ErrorKind::AlreadyExists => StoreError::Superseded { file: self.storage.name(number) },
             _ => error.into(),
         })?;
-        self.segments.push_back(Segment { number, bytes: 0, waste: 0, live: 0 });
+        self.segments.push_back(Segment { number, bytes: 0, failed_write_bytes: 0, live_records: 0 });
         self.tail = Tail::Clean;
         Ok(())
     }
 
-    /// Frees old segments as far as possible; a failure is logged when it begins and when it is over.
+    /// Removes old segments where possible. The first failure and the recovery are logged.
     fn reclaim(&mut self) {
         let freed = self.try_reclaim();
         match &freed {
-            Err(error) if !self.reclaim_failed => warn!("old segments of the journal stay for now: {error}"),
-            Ok(()) if self.reclaim_failed => info!("old segments of the journal are freed again"),
+            Err(error) if !self.reclaim_failed => {
+                warn!("old segments of the journal cannot be removed at present: {error}")
+            }
+            Ok(()) if self.reclaim_failed => info!("old segments of the journal can be removed again"),
             _ => {}
         }
         self.reclaim_failed = freed.is_err();
     }
 
-    /// Removes the oldest segments while nothing in them is live; where much of the disk is taken by what is
-    /// over, what is live in the oldest one is noted again first.
+    /// Removes the oldest segments that hold no live records. If finished records take up much of the disk, the live records of
+    /// the oldest segment are first written again.
     fn try_reclaim(&mut self) -> Result<(), StoreError> {
         loop {
             let Some(oldest) = self.segments.front() else { return Ok(()) };
             if self.segments.len() == 1 && self.tail != Tail::Closed {
                 return Ok(());
             }
-            if oldest.live == 0 {
+            if oldest.live_records == 0 {
                 let number = oldest.number;
                 match self.storage.remove(number) {
                     Err(error) if error.kind() != ErrorKind::NotFound => return Err(error.into()),
@@ -336,13 +350,13 @@
                 self.abandoned.retain(|(abandoned, _)| *abandoned != number);
                 continue;
             }
-            if self.used() <= self.limit / 2 || self.used() < 2 * self.book.bytes() {
+            if self.used_bytes() <= self.limit / 2 || self.used_bytes() < 2 * self.index.bytes() {
                 return Ok(());
             }
             let number = oldest.number;
-            let moving = self.book.in_segment(number);
-            let states: Vec<Record> = moving.into_iter().flat_map(Book::noted_again).collect();
-            // Without room it waits until more is over; TO_COMPACT is kept free so that this is rare.
+            let moving = self.index.in_segment(number);
+            let states: Vec<Record> = moving.into_iter().flat_map(Index::rewrite_records).collect();
+            // Without space, compaction waits until more records are finished; COMPACTION_RESERVE_BYTES makes this rare.
             match self.write(&states) {
                 Err(StoreError::Full { .. }) => return Ok(()),
                 written => written?,
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,13 +1,14 @@
-//! The store: what the relay has taken on, so that it outlasts the process, and what the record is still to be
-//! told. Owns the one record model, its bytes, the replay and the journal. It must never decide what becomes of
-//! a message, nor tell a write done before its bytes are out of the process.
+//! The store: the journal of accepted messages and of entries for the database, so that both outlast the process. It holds
+//! the journal's records, their encoding and their replay.
+//!
+//! Invariant: a write is reported as done only after its bytes have left the process.
 
-mod book;
 mod bytes;
 mod error;
+mod folder_lock;
 mod frames;
+mod index;
 mod journal;
-mod owner;
 mod storage;
 pub mod takeover;
 
@@ -20,14 +21,17 @@
 
 pub use self::bytes::{decode, encode};
 pub use error::StoreError;
-pub use journal::{Journal, Mark, Room, TO_END, TO_END_RECORDED, mark};
-pub use owner::{Owner, own};
+pub use folder_lock::{FolderLock, lock_folder};
+pub use journal::{
+    Journal, JournalLimits, JournalPosition, RESERVED_BYTES_PER_MESSAGE, RESERVED_BYTES_PER_RECORDED_MESSAGE,
+    journal_position,
+};
 pub use storage::{Folder, Storage};
 
-/// A message as the store holds it. Class and tenant go by name, as their order may change between starts.
+/// A message in the store. Class and tenant are stored by name, as their order may change between starts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stored {
-    /// The client's id.
+    /// The id that the client gave it.
     pub id: String,
     /// Its class.
     pub class: String,
@@ -35,57 +39,57 @@
     pub tenant: Option<String>,
     /// Its destination.
     pub destination: i64,
-    /// Unix time in microseconds until which it may be delivered.
+    /// Deadline of its delivery, as Unix time in microseconds.
     pub due: Micros,
     /// Its idempotency key, if its client gave one.
     pub idempotency_key: Option<IdempotencyKey>,
     /// The body.
     pub body: Bytes,
-    /// Attempts used.
+    /// Number of attempts that were started.
     pub attempts: u32,
-    /// An attempt may have run, or is out.
+    /// Whether an attempt may have run, or is in flight.
     pub may_have_run: bool,
-    /// The terms of its class as it was taken on; none in what an older version wrote.
+    /// The terms of its class when it was accepted. `None` in records of older versions.
     pub terms: Option<Class>,
-    /// Its life so far, where its end is to be recorded.
+    /// Its history so far, if its end is to be recorded.
     pub trace: Option<Trace>,
 }
 
-/// An attempt that is about to start, where it is to be recorded.
+/// The start of an attempt, as it is to be recorded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Begun {
-    /// When.
+pub struct AttemptStart {
+    /// Unix time in microseconds.
     pub at: Micros,
-    /// Where it goes.
+    /// The endpoint's address.
     pub endpoint: String,
 }
 
-/// How an attempt ended, where it is to be recorded.
+/// The end of an attempt, as it is to be recorded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Heard {
-    /// When.
+pub struct AttemptEnd {
+    /// Unix time in microseconds.
     pub at: Micros,
-    /// In a word.
+    /// The result, in a word.
     pub result: String,
     /// Whether it took effect.
     pub effect: Effect,
-    /// On what that rests.
+    /// The evidence for the effect.
     pub evidence: Evidence,
 }
 
-/// One record.
+/// A record of the journal.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
-    /// A message was taken on; or is noted again, as it now stands.
-    Taken(Stored),
+    /// A message was accepted, or its present state was written again by compaction.
+    Accepted(Stored),
     /// An attempt is about to start.
     Started {
         /// The message.
         id: String,
         /// Which attempt, counted from 0.
         attempt: u32,
-        /// For the record.
-        begun: Option<Begun>,
+        /// Details for the database, if the message is recorded there.
+        start: Option<AttemptStart>,
     },
     /// An attempt has ended.
     Outcome {
@@ -93,51 +97,52 @@
         id: String,
         /// Which attempt.
         attempt: u32,
-        /// It may have run.
+        /// Whether it may have run.
         may_have_run: bool,
-        /// For the record.
-        heard: Option<Heard>,
+        /// Details for the database, if the message is recorded there.
+        end: Option<AttemptEnd>,
     },
-    /// Something was heard of an attempt that may end its message. Nothing is sent for that message any more.
-    Heard {
+    /// The answer of an attempt decides what becomes of its message, although the attempt has not ended. Nothing more is
+    /// sent for the message.
+    Decided {
         /// The message.
         id: String,
         /// Which attempt.
         attempt: u32,
-        /// What that means for the message if nothing more comes.
+        /// The decision, if nothing more arrives.
         verdict: Verdict,
     },
-    /// The message is over; with the notice that is owed, if one is.
+    /// The message has ended.
     Ended {
         /// The message.
         id: String,
-        /// What the platform is to be told.
+        /// The non-delivery report that is due to the platform, if any.
         notice: Option<Notice>,
     },
-    /// The platform has acknowledged the notice.
+    /// The platform has acknowledged the non-delivery report.
     Acknowledged {
         /// The message.
         id: String,
     },
-    /// A receipt was given or got.
+    /// A receipt was sent or received.
     Receipt(Receipt),
-    /// This is to be recorded in the database, and stays until it is.
+    /// An entry that waits until it is written to the database.
     Entry {
         /// Its number.
         number: u64,
-        /// The entry.
+        /// The encoded entry.
         bytes: Bytes,
     },
-    /// The database has these entries.
+    /// These entries are in the database.
     Recorded(Vec<u64>),
 }
 
 impl Record {
-    /// The message, or what else it is about; nothing where it is about several.
+    /// The id of the message, or the key of the receipt, that it is about. Empty for entries.
     pub fn id(&self) -> &str {
         match self {
-            Record::Taken(stored) => &stored.id,
-            Record::Started { id, .. } | Record::Outcome { id, .. } | Record::Heard { id, .. } => id,
+            Record::Accepted(stored) => &stored.id,
+            Record::Started { id, .. } | Record::Outcome { id, .. } | Record::Decided { id, .. } => id,
             Record::Ended { id, .. } | Record::Acknowledged { id } => id,
             Record::Receipt(receipt) => &receipt.key,
             Record::Entry { .. } | Record::Recorded(_) => "",
@@ -145,17 +150,17 @@
     }
 }
 
-/// What a start finds: messages that are owed their end, and notices that are owed their acknowledgement.
+/// The state that is restored at a start: everything in the journal that is not finished.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Replay {
-    /// In the order taken.
+    /// Messages that have not ended, in the order of acceptance.
     pub messages: Vec<Stored>,
-    /// Messages that have ended or may have, by what was heard of their last attempt.
-    pub heard: Vec<(Stored, Verdict)>,
-    /// Not acknowledged yet.
+    /// Messages that have ended or may have, by the answer of their last attempt.
+    pub decided: Vec<(Stored, Verdict)>,
+    /// Non-delivery reports that are not acknowledged.
     pub notices: Vec<Notice>,
-    /// Still remembered.
+    /// Receipts that have not expired.
     pub receipts: Vec<Receipt>,
-    /// Not known to be in the database, by number.
+    /// Entries that are not known to be in the database, with their numbers.
     pub entries: Vec<(u64, Bytes)>,
 }
--- a/src/store/storage.rs
+++ b/src/store/storage.rs
@@ -1,18 +1,18 @@
-//! The disk as the journal uses it: numbered segments that are created, appended to, cut back and removed.
+//! Storage of the journal: numbered segments that are created, appended to, truncated and removed.
 //!
-//! [`Folder`] is the real one. Tests put a double in its place whose calls fail at chosen points.
+//! [`Folder`] stores segments as files. Tests use an implementation with fault injection.
 
 use std::fmt::Debug;
 use std::fs::{File, OpenOptions};
 use std::io::{Result, Write};
 use std::path::{Path, PathBuf};
 
-/// What a name of a segment's file begins with; its number follows.
+/// Prefix of the name of a segment's file; the segment's number follows.
 const PREFIX: &str = "journal-";
 
-/// The segments of one journal. Only the segment that was created last is written to.
+/// The segments of one journal. Only the segment that was created last is written.
 pub trait Storage: Debug + Send {
-    /// The name of a segment, for messages.
+    /// The name of a segment, for log lines and errors.
     fn name(&self, number: u64) -> String;
 
     /// The numbers of all segments, in ascending order.
@@ -27,19 +27,19 @@
     /// If the disk fails.
     fn read(&mut self, number: u64) -> Result<Vec<u8>>;
 
-    /// Creates a segment, to which is appended from now on.
+    /// Creates a segment, which is the one to append to from now on.
     ///
     /// # Errors
-    /// If the disk fails, or with [`std::io::ErrorKind::AlreadyExists`] if there is one of this number.
+    /// If the disk fails, or with [`std::io::ErrorKind::AlreadyExists`] if the segment exists.
     fn create(&mut self, number: u64) -> Result<()>;
 
     /// Appends to the segment that was created last.
     ///
     /// # Errors
-    /// If the disk fails. A part of the bytes may be there then.
+    /// If the disk fails. A part of the bytes may have been written then.
     fn append(&mut self, bytes: &[u8]) -> Result<()>;
 
-    /// Cuts the segment that was created last to so many bytes.
+    /// Truncates the segment that was created last to `length` bytes.
     ///
     /// # Errors
     /// If the disk fails.
@@ -52,7 +52,7 @@
     fn remove(&mut self, number: u64) -> Result<()>;
 }
 
-/// The segments as files of a folder.
+/// Segments as files in a folder.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
@@ -60,7 +60,7 @@
 }
 
 impl Folder {
-    /// The segments of a folder, which is created where it is missing.
+    /// Opens the segments of a folder, which is created if it is missing.
     ///
     /// # Errors
     /// If the disk fails.
@@ -89,7 +89,7 @@
     Ok(numbers)
 }
 
-/// The newest segment in a folder and the bytes of its file.
+/// The number of the newest segment in a folder, and the length of its file in bytes.
 ///
 /// # Errors
 /// If the disk fails.
--- a/src/store/takeover.rs
+++ b/src/store/takeover.rs
@@ -1,117 +1,123 @@
-//! What an older program kept in the database: one row a record, the bytes as hexadecimal text, in
-//! `tulipfall_records`. Owns the reading of that table. What is unfinished goes on in the journal, what is
-//! finished becomes rows of the record, and the table stays as it is. The same again changes nothing, so that
-//! it may be killed at any point.
+//! Import of the records that an older program stored in the database, in the table `tulipfall_records`, with one row for
+//! each record and its bytes as hexadecimal text. Unfinished records are written to the journal, finished messages become
+//! rows of the current tables, and the old table stays unchanged. The import is idempotent, so that it may be interrupted at
+//! any point.
 
 use std::collections::HashMap;
 
 use ::bytes::Bytes;
 use openssl::sha::sha256;
 use record::model::{Effect, Evidence, Final, Outcome, Trace, hex};
-use record::store::Record as Book;
+use record::store::Record as RecordStore;
 use record::writer::Failure;
 
-use super::book::Book as Fold;
+use super::index::Index;
 use super::{Journal, Record, decode};
 use crate::exchange::Notice;
 use crate::interface::Micros;
 
-/// Rows read at once.
-const PAGE: i64 = 2000;
-/// Ends written at once.
-const PORTION: usize = 512;
+/// Number of rows read by one query.
+const PAGE_ROWS: i64 = 2000;
+/// Number of finished messages written by one transaction.
+const IMPORT_BATCH: usize = 512;
 
-/// What was taken over.
+/// Counts of what was imported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Taken {
-    /// Messages, notices and receipts that go on.
+pub struct Imported {
+    /// Number of unfinished messages, non-delivery reports and receipts.
     pub unfinished: usize,
-    /// Messages that are over.
+    /// Number of finished messages.
     pub finished: usize,
 }
 
-/// What is read of a message that may be finished.
+/// State of a message whose end has not been read yet.
 #[derive(Default)]
-struct Seen {
+struct PartialMessage {
     first: Micros,
-    taken: Option<super::Stored>,
+    imported: Option<super::Stored>,
     trace: Option<Trace>,
     notice: Option<Notice>,
 }
 
-/// Takes over what the table holds of this relay.
+/// Imports the records of this relay.
 ///
 /// # Errors
-/// Where the database fails, or a row cannot be read: nothing is passed over.
-pub async fn run(book: &mut Book, relay: &str, journal: &mut Journal, now: Micros) -> Result<Taken, Failure> {
-    let mut taken = Taken::default();
-    if !book.connection().has_table("tulipfall_records").await? {
-        return Ok(taken);
+/// If the database fails, or a row cannot be decoded: no row is skipped.
+pub async fn run(
+    record_store: &mut RecordStore, relay: &str, journal: &mut Journal, now: Micros,
+) -> Result<Imported, Failure> {
+    let mut imported = Imported::default();
+    if !record_store.connection().has_table("tulipfall_records").await? {
+        return Ok(imported);
     }
     let done = "SELECT relay FROM record_takeover WHERE relay = $1";
-    if !book.connection().rows(done, &[relay.into()]).await?.is_empty() {
-        return Ok(taken);
+    if !record_store.connection().rows(done, &[relay.into()]).await?.is_empty() {
+        return Ok(imported);
     }
     let sql = "SELECT seq, at, finished, record FROM tulipfall_records WHERE relay = $1 AND seq > $2 \
         ORDER BY seq LIMIT $3";
-    let (mut after, mut fold, mut seen) = (-1, Fold::default(), HashMap::<String, Seen>::new());
+    let (mut after, mut index, mut partial) =
+        (-1, Index::default(), HashMap::<String, PartialMessage>::new());
     let mut ends = Vec::new();
     loop {
-        let rows = book.connection().rows(sql, &[relay.into(), after.into(), PAGE.into()]).await?;
+        let rows =
+            record_store.connection().rows(sql, &[relay.into(), after.into(), PAGE_ROWS.into()]).await?;
         if rows.is_empty() {
             break;
         }
         for row in &rows {
             let [seq, at, finished, text] = row.as_slice() else { continue };
             after = seq.int().unwrap_or(after);
-            let record = text.text().and_then(unhex).and_then(|bytes| decode(&bytes));
+            let record = text.text().and_then(decode_hex).and_then(|bytes| decode(&bytes));
             let damaged = || Failure::Damaged(format!("tulipfall_records, relay {relay:?}, seq {after}"));
             let record = record.ok_or_else(damaged)?;
-            // What is finished has no part in what goes on; its rows may be there in part, as history went.
+            // Finished messages are not part of the live state. Some of their rows may be missing, as old rows were deleted.
             if finished.int() != Some(1) {
-                fold.apply(&record, 0, 0, |_, _| ());
-            } else if let Some(end) = finish(&mut seen, &record, at.int().unwrap_or(0)) {
+                index.apply(&record, 0, 0, |_, _| ());
+            } else if let Some(end) = finish(&mut partial, &record, at.int().unwrap_or(0)) {
                 ends.push(end);
             }
         }
-        if ends.len() >= PORTION {
-            taken.finished += ends.len();
-            book.import(std::mem::take(&mut ends)).await?;
+        if ends.len() >= IMPORT_BATCH {
+            imported.finished += ends.len();
+            record_store.import(std::mem::take(&mut ends)).await?;
         }
     }
-    taken.finished += ends.len();
-    book.import(ends).await?;
-    let replay = fold.replay();
+    imported.finished += ends.len();
+    record_store.import(ends).await?;
+    let replay = index.replay();
     let known = journal.ids();
     let mut records = Vec::new();
-    let heard = replay.heard.into_iter().map(|(stored, _)| stored);
-    for stored in replay.messages.into_iter().chain(heard) {
+    let decided = replay.decided.into_iter().map(|(stored, _)| stored);
+    for stored in replay.messages.into_iter().chain(decided) {
         let open = stored.may_have_run || stored.attempts > 0;
         let trace = Some(Trace::new(now)).filter(|_| !open);
-        records.push(Record::Taken(super::Stored { trace, ..stored }));
+        records.push(Record::Accepted(super::Stored { trace, ..stored }));
     }
     let notices = replay.notices.into_iter();
     records.extend(notices.map(|notice| Record::Ended { id: notice.id.clone(), notice: Some(notice) }));
     records.extend(replay.receipts.into_iter().map(Record::Receipt));
-    // A kill may have left a part of them in the journal.
+    // An interrupted import may have left a part of them in the journal.
     records.retain(|record| !known.contains(record.id()));
-    taken.unfinished = records.len();
+    imported.unfinished = records.len();
     for portion in records.chunks(64) {
         journal.append(now, portion).map_err(|error| Failure::Full(error.to_string()))?;
     }
     let sql = "INSERT INTO record_takeover (relay, at, messages) VALUES ($1, $2, $3) ON CONFLICT DO NOTHING";
-    let count = i64::try_from(taken.finished).unwrap_or(i64::MAX);
-    book.connection().execute(sql, &[relay.into(), now.into(), count.into()]).await?;
-    Ok(taken)
+    let count = i64::try_from(imported.finished).unwrap_or(i64::MAX);
+    record_store.connection().execute(sql, &[relay.into(), now.into(), count.into()]).await?;
+    Ok(imported)
 }
 
-/// Folds a record of a finished message; its end, once it is there.
-fn finish(seen: &mut HashMap<String, Seen>, record: &Record, at: Micros) -> Option<Final> {
+/// Applies a record of a finished message. Returns the message's end once it is read.
+fn finish(partial: &mut HashMap<String, PartialMessage>, record: &Record, at: Micros) -> Option<Final> {
     let id = record.id().to_string();
-    let message = seen.entry(id.clone()).or_insert_with(|| Seen { first: at, ..Seen::default() });
+    let message = partial
+        .entry(id.clone())
+        .or_insert_with(|| PartialMessage { first: at, ..PartialMessage::default() });
     let first = message.first;
     match record {
-        Record::Taken(stored) => message.taken = Some(stored.clone()),
+        Record::Accepted(stored) => message.imported = Some(stored.clone()),
         Record::Started { attempt, .. } => {
             message.trace.get_or_insert_with(|| Trace::new(first)).started(*attempt, "unknown", at);
         }
@@ -125,21 +131,21 @@
             return None;
         }
         Record::Ended { notice: None, .. } | Record::Acknowledged { .. } => {
-            return seen.remove(&id).map(|message| end(id, message, at));
+            return partial.remove(&id).map(|message| end(id, message, at));
         }
-        // The older store knew no such record.
-        Record::Heard { .. } => {}
+        // The older store had no such record.
+        Record::Decided { .. } => {}
         Record::Receipt(_) | Record::Entry { .. } | Record::Recorded(_) => {
-            seen.remove(&id);
+            partial.remove(&id);
         }
     }
     None
 }
 
-/// The end of a message, as far as the old store told. A delivery and a withdrawal left the same there: where
-/// an attempt was out, it counts as a delivery whose effect is in doubt.
-fn end(id: String, message: Seen, at: Micros) -> Final {
-    let Seen { first, taken, trace, notice } = message;
+/// The end of a message, as far as the old store recorded it. Deliveries and withdrawals left the same records there: with an
+/// attempt in flight, it counts as a delivery whose effect is in doubt.
+fn end(id: String, message: PartialMessage, at: Micros) -> Final {
+    let PartialMessage { first, imported, trace, notice } = message;
     let trace = trace.unwrap_or_else(|| Trace::new(first));
     let open = trace.attempts.last().is_some_and(|attempt| attempt.ended.is_none());
     let outcome = match notice {
@@ -148,15 +154,15 @@
         None if open => Outcome::Delivered,
         None => Outcome::Withdrawn,
     };
-    let body = taken.as_ref().map_or_else(Bytes::new, |stored| stored.body.clone());
+    let body = imported.as_ref().map_or_else(Bytes::new, |stored| stored.body.clone());
     Final {
         id,
-        class: taken.as_ref().map_or_else(|| "unknown".into(), |stored| stored.class.clone()),
-        // Its class's effect was not kept: what is not known to be harmless counts as harmful, but is not
-        // held to rules that were not recorded.
+        class: imported.as_ref().map_or_else(|| "unknown".into(), |stored| stored.class.clone()),
+        // The class's effect was not stored: an effect that is not known to be idempotent counts as non-idempotent,
+        // but the message is not checked against rules that were not recorded.
         once: false,
-        tenant: taken.as_ref().and_then(|stored| stored.tenant.clone()),
-        destination: taken.as_ref().map_or(-1, |stored| stored.destination),
+        tenant: imported.as_ref().and_then(|stored| stored.tenant.clone()),
+        destination: imported.as_ref().map_or(-1, |stored| stored.destination),
         ended_at: at,
         outcome,
         receipt: None,
@@ -167,7 +173,7 @@
     }
 }
 
-fn unhex(text: &str) -> Option<Vec<u8>> {
+fn decode_hex(text: &str) -> Option<Vec<u8>> {
     let digits = text.as_bytes();
     let pair = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).ok()?, 16).ok();
     digits.len().is_multiple_of(2).then(|| digits.chunks(2).map(pair).collect()).flatten()
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -306,7 +306,7 @@
         let (id, class, tenant) = (id.to_string(), class.to_string(), Some("desk".into()));
         let body = Bytes::from_static(b"old");
         let (attempts, may_have_run, trace) = (0, false, None);
-        Record::Taken(Stored {
+        Record::Accepted(Stored {
             id,
             class,
             tenant,
@@ -320,10 +320,10 @@
             trace,
         })
     };
-    let started = |id: &str| Record::Started { id: id.into(), attempt: 0, begun: None };
+    let started = |id: &str| Record::Started { id: id.into(), attempt: 0, start: None };
     let ended = |id: &str, notice: Option<Notice>| Record::Ended { id: id.into(), notice };
     let notice = Notice { id: "handed back".into(), handed_back: true, retry_in_ms: None };
-    let outcome = Record::Outcome { id: "handed back".into(), attempt: 0, may_have_run: false, heard: None };
+    let outcome = Record::Outcome { id: "handed back".into(), attempt: 0, may_have_run: false, end: None };
     let acknowledged = Record::Acknowledged { id: "handed back".into() };
     old_table(
         &scene.folder.join("state/relay.sqlite"),
