--- a/src/fleet/distribution/listing.rs
+++ b/src/fleet/distribution/listing.rs
@@ -5,7 +5,7 @@
 use destinations::{DestinationId, DestinationSet, EndpointRef, Phase};
 
 use crate::exchange::Member;
-use crate::interface::Listed;
+use crate::interface::ServiceState;
 use crate::wire::RawEntry;
 
 /// The kind of each endpoint of the set. It is the only kind in an operator's file; an endpoint of an unknown kind would be
@@ -72,8 +72,8 @@
 /// the address, the result equals the id in an operator's file, so that both are the same endpoint to the runtime.
 fn member(destination: DestinationId, endpoint: EndpointRef<'_>) -> Member {
     let listed = match endpoint.phase {
-        Phase::Ready => Listed::InService,
-        Phase::Draining => Listed::Draining,
+        Phase::Ready => ServiceState::InService,
+        Phase::Draining => ServiceState::Draining,
     };
     let id = format!("{destination}@{}", endpoint.id);
     Member {
@@ -84,9 +84,9 @@
 }
 
 fn removed_member(destination: DestinationId, id: String) -> Member {
-    Member { entry: entry(destination, Listed::Gone, 0.0, &id), address: "".into(), id }
+    Member { entry: entry(destination, ServiceState::Removed, 0.0, &id), address: "".into(), id }
 }
 
-fn entry(destination: DestinationId, listed: Listed, rate_per_s: f64, id: &str) -> RawEntry {
+fn entry(destination: DestinationId, listed: ServiceState, rate_per_s: f64, id: &str) -> RawEntry {
     RawEntry::new(KIND.into(), listed, destination.0, ZONE.into(), rate_per_s, id.into())
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -36,7 +36,7 @@
 
 use crate::exchange::{Clock, Member};
 use crate::input::Input;
-use crate::interface::{Hearsay, Micros, RuleFigures};
+use crate::interface::{DestinationObservation, Micros, RuleParameters};
 use crate::retry::until_works;
 use crate::standing::ProcessStatus;
 
@@ -128,7 +128,7 @@
     /// Updates from the runtime.
     pub updates: mpsc::UnboundedSender<FleetUpdate>,
     /// Reports restored from the snapshot of an earlier process, to be applied before the runtime resumes its messages.
-    pub restored_reports: Vec<Hearsay>,
+    pub restored_reports: Vec<DestinationObservation>,
     /// The endpoints of the persisted destination set, in place of the configured ones.
     pub endpoints: Option<Vec<Member>>,
     /// Owns the sockets, and closes them when it is aborted.
@@ -142,7 +142,7 @@
 /// # Errors
 /// If a socket cannot be opened.
 pub async fn start(
-    setup: &Setup, rules: &RuleFigures, (state, room): (&Path, u64), (clock, seed): (Clock, u64),
+    setup: &Setup, rules: &RuleParameters, (state, room): (&Path, u64), (clock, seed): (Clock, u64),
     (inputs, relay_lists): (mpsc::Sender<Input>, watch::Receiver<Vec<SocketAddr>>),
     (standing, leave): (Arc<ProcessStatus>, Arc<Notify>), before: InitialEndpoints<'_>,
 ) -> std::io::Result<FleetHandle> {
@@ -171,7 +171,7 @@
     let link = PeerLink::new(config, now);
     let relays = count(&setup.all);
     let permits = setup.permits.map(|sharing| {
-        let cold = Cold { from: rules.cold_from, warm_after: rules.cold };
+        let cold = Cold { from: rules.cold_capacity_fraction, warm_after: rules.warm_up };
         let config = permit::Config {
             me: setup.me,
             relays,
--- a/src/handover/new.rs
+++ b/src/handover/new.rs
@@ -20,7 +20,7 @@
 use crate::exchange::{CallEnd, Clock};
 use crate::handed::{CallInFlight, HandoverState};
 use crate::input::Input;
-use crate::interface::{Micros, Outcome, Report};
+use crate::interface::{LimitReport, Micros, Outcome};
 use crate::retry::until_works;
 use crate::standing::ProcessStatus;
 use crate::store::{FolderLock, JournalPosition, journal_position, lock_folder};
@@ -218,7 +218,7 @@
     info!("the old process has gone; {} of its calls were still in flight", in_flight.len());
     clients.store(most_clients, Ordering::Relaxed);
     for ((id, attempt), CallInFlight { target, began, .. }) in in_flight {
-        let (report, evidence) = (Report::default(), Evidence::default());
+        let (report, evidence) = (LimitReport::default(), Evidence::default());
         let outcome = Outcome::Reset;
         let end = CallEnd {
             id,
--- a/src/recording.rs
+++ b/src/recording.rs
@@ -58,7 +58,7 @@
     /// Creates an outbox whose numbers continue after `last`. `disk` and `memory` are the space available, in bytes.
     pub fn new(handle: Handle, last: u64, settings: &Settings, disk: u64, memory: usize) -> Self {
         let max_bytes = (disk / DISK_DIVISOR).min(memory as u64 / MEMORY_DIVISOR);
-        Outbox { handle, next: last + 1, max_bytes, max_retry_advice: settings.longest_advice }
+        Outbox { handle, next: last + 1, max_bytes, max_retry_advice: settings.max_retry_after }
     }
 
     /// Assigns the number of the next entry.
--- a/src/runtime/recovery.rs
+++ b/src/runtime/recovery.rs
@@ -22,10 +22,10 @@
     /// # Errors
     /// Where the store fails.
     pub fn resume(
-        &mut self, known: Vec<Member>, observations: Vec<Hearsay>, replay: Replay,
+        &mut self, known: Vec<Member>, observations: Vec<DestinationObservation>, replay: Replay,
     ) -> Result<(), StoreError> {
-        self.listed(ListForm::All, known);
-        observations.into_iter().for_each(|hearsay| self.handle(Event::Told(hearsay)));
+        self.listed(ListUpdate::Full, known);
+        observations.into_iter().for_each(|hearsay| self.handle(Event::PeerObserved(hearsay)));
         self.resend(replay.notices);
         for (number, bytes) in replay.entries {
             self.resume_entry(number, &bytes);
@@ -85,7 +85,7 @@
     /// Ends a message by what an earlier process received on its last attempt. It is never sent again.
     pub(super) fn resume_heard(&mut self, mut stored: Stored, verdict: Verdict) {
         let terms = stored.terms.clone().or_else(|| self.current_terms(&stored.class));
-        let non_idempotent = terms.is_none_or(|terms| terms.effect == Effect::Unsafe);
+        let non_idempotent = terms.is_none_or(|terms| terms.effect == Effect::NonIdempotent);
         let mut trace = self.resumed_trace(&mut stored);
         if let Some(trace) = &mut trace {
             let attempt_outcome = if verdict == Verdict::Delivered { Outcome::Ok } else { Outcome::Skipped };
@@ -109,7 +109,7 @@
 
     fn current_terms(&self, class: &str) -> Option<Class> {
         let number = self.classes.current(class)?;
-        self.classes.terms(number).cloned()
+        self.classes.parameters(number).cloned()
     }
 
     /// The message's history. For a message that was accepted before there was a record, the known part of it.
