--- a/tests/link.rs
+++ b/tests/link.rs
@@ -1,5 +1,6 @@
-//! Relays on loopback sockets with permits and facts on one link: a want leaves as a datagram, and a permit comes back as
-//! an input; what one saw fail, the other hears; both builds' notes come by one socket.
+//! Relays on loopback sockets that share limits and observations on one peer link: a request leaves as a datagram, and a grant
+//! arrives as an input; a failure that one relay observes is reported to the other; datagrams of this and the previous build
+//! arrive on one socket.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -25,37 +26,39 @@
     drain_grace: 1_000_000,
     settle_time: 0,
 };
-/// Far beyond what any of this takes.
-const FAR: Duration = Duration::from_secs(20);
+/// A time limit far beyond the duration of any step.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Permits for a destination until so many have come.
-async fn permits(inputs: &mut mpsc::Receiver<Input>, destination: i64, wanted: u16) -> u16 {
-    let mut have = 0;
-    while have < wanted {
-        let input = tokio::time::timeout(FAR, inputs.recv()).await.expect("a steward answers");
+/// Receives grants for a destination until there are `wanted` of them. Returns their number.
+async fn receive_grants(inputs: &mut mpsc::Receiver<Input>, destination: i64, wanted: u16) -> u16 {
+    let mut granted = 0;
+    while granted < wanted {
+        let input = tokio::time::timeout(TIMEOUT, inputs.recv()).await.expect("a coordinator answers");
         if let Some(Input::Permitted(given)) = input
             && given.destination == destination
         {
-            have += given.permits;
+            granted += given.permits;
         }
     }
-    have
+    granted
 }
 
-/// Addresses that nobody listens at.
-fn free(count: usize) -> Vec<SocketAddr> {
+/// Addresses without a listener.
+fn unused_addresses(count: usize) -> Vec<SocketAddr> {
     let sockets: Vec<UdpSocket> =
         (0..count).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port")).collect();
     sockets.iter().map(|socket| socket.local_addr().expect("an address")).collect()
 }
 
-/// A relay's end of the link, started.
-struct End {
+/// A running relay's part in its fleet.
+struct RunningRelay {
     updates: mpsc::UnboundedSender<FleetUpdate>,
     inputs: mpsc::Receiver<Input>,
 }
 
-async fn begin(me: u16, all: &[SocketAddr], sharing: Sharing, facts: bool, clock: Clock) -> End {
+async fn start_relay(
+    me: u16, all: &[SocketAddr], sharing: Sharing, facts: bool, clock: Clock,
+) -> RunningRelay {
     let (inputs, received) = mpsc::channel(64);
     let setup = Setup {
         me,
@@ -75,7 +78,7 @@
     let process = (Arc::new(ProcessStatus::starting(clock)), Arc::default());
     let (clock, before) = ((clock, u64::from(me)), InitialEndpoints::Configured(&[]));
     let started = start(&setup, &RULES, (&folder, 0), clock, (inputs, replaced), process, before).await;
-    End { updates: started.expect("the port is free").updates, inputs: received }
+    RunningRelay { updates: started.expect("the port is free").updates, inputs: received }
 }
 
 fn end_of_call(outcome: Outcome, began: i64) -> CallEnd {
@@ -95,16 +98,16 @@
 }
 
 #[tokio::test]
-async fn relays_get_permits_of_each_other_and_after_a_steward_that_is_not_there() {
+async fn relays_receive_grants_from_each_other_and_after_the_failure_of_a_coordinator() {
     for sharing in [Sharing::Whole, Sharing::Parts] {
         let clock = Clock::start();
-        // The third relay is listed and never starts.
-        let all = free(3);
+        // The third relay is in the list, but never starts.
+        let all = unused_addresses(3);
         let mut relays = Vec::new();
         for me in 0..2u16 {
-            relays.push(begin(me, &all, sharing, false, clock).await);
+            relays.push(start_relay(me, &all, sharing, false, clock).await);
         }
-        // Among so many destinations each relay is the steward of some, the one that is not there as well.
+        // With this number of destinations each relay coordinates some of them, including the one that never starts.
         let destinations = 1..=12;
         for relay in &relays {
             let listed = destinations.clone().map(|destination| (destination, 40.0)).collect();
@@ -118,8 +121,8 @@
                     .expect("it runs");
             }
             for relay in &mut relays {
-                let had = permits(&mut relay.inputs, destination, 2).await;
-                assert_eq!(had, 2, "destination {destination}");
+                let granted = receive_grants(&mut relay.inputs, destination, 2).await;
+                assert_eq!(granted, 2, "destination {destination}");
                 relay.updates.send(FleetUpdate::RequestGrants(destination, vec![])).expect("it runs");
                 let end = end_of_call(Outcome::Ok, clock.now());
                 relay
@@ -132,11 +135,11 @@
 }
 
 #[tokio::test]
-async fn permits_and_facts_share_one_link() {
+async fn grants_and_observations_share_one_link() {
     let clock = Clock::start();
-    let all = free(2);
-    let first = begin(0, &all, Sharing::Whole, true, clock).await;
-    let mut second = begin(1, &all, Sharing::Whole, true, clock).await;
+    let all = unused_addresses(2);
+    let first = start_relay(0, &all, Sharing::Whole, true, clock).await;
+    let mut second = start_relay(1, &all, Sharing::Whole, true, clock).await;
     second.updates.send(FleetUpdate::Listed(vec![(5, 40.0)])).expect("it runs");
     first.updates.send(FleetUpdate::Listed(vec![(5, 40.0)])).expect("it runs");
     for _ in 0..4 {
@@ -147,37 +150,40 @@
             .expect("it runs");
     }
     second.updates.send(FleetUpdate::RequestGrants(5, vec![(1000, 1)])).expect("it runs");
-    let (mut permitted, mut shut) = (false, false);
-    while !(permitted && shut) {
-        match tokio::time::timeout(FAR, second.inputs.recv()).await.expect("both come") {
-            Some(Input::Permitted(given)) => permitted |= given.permits > 0,
-            Some(Input::Told(hearsay)) => shut |= matches!(hearsay.condition, ObservedCondition::Failing(_)),
+    let (mut grant_received, mut failing_reported) = (false, false);
+    while !(grant_received && failing_reported) {
+        match tokio::time::timeout(TIMEOUT, second.inputs.recv()).await.expect("both arrive") {
+            Some(Input::Permitted(given)) => grant_received |= given.permits > 0,
+            Some(Input::Told(report)) => {
+                failing_reported |= matches!(report.condition, ObservedCondition::Failing(_))
+            }
             _ => {}
         }
     }
 }
 
 #[tokio::test]
-async fn a_relay_of_the_build_before_gets_permits_of_this_one() {
+async fn a_relay_of_the_previous_build_receives_grants_from_this_build() {
     let clock = Clock::start();
-    let all = free(2);
-    let steward = begin(0, &all, Sharing::Whole, false, clock).await;
-    steward.updates.send(FleetUpdate::Listed(vec![(5, 40.0)])).expect("it runs");
+    let all = unused_addresses(2);
+    let coordinator = start_relay(0, &all, Sharing::Whole, false, clock).await;
+    coordinator.updates.send(FleetUpdate::Listed(vec![(5, 40.0)])).expect("it runs");
     let old = tokio::net::UdpSocket::bind(all[1]).await.expect("the port is free");
     let mut buffer = [0; 512];
-    let permit = async {
+    let grant = async {
         for number in 1.. {
             let tiers = vec![(1000, 1)];
             let items = vec![Item::Want { destination: 5, seen: 0, stamp: None, of: 0, tiers }];
-            let note = Note { from: 1, incarnation: 1, number, items }.seal(&Keys::default());
-            old.send_to(&note.expect("it has room"), all[0]).await.expect("sent");
-            let heard = tokio::time::timeout(Duration::from_millis(50), old.recv_from(&mut buffer)).await;
-            let Ok(Ok((n, _))) = heard else { continue };
-            let note = Note::open(&buffer[..n], &Keys::default()).expect("in its own form");
-            if note.items.iter().any(|item| matches!(item, Item::Permit { total: 1.., .. })) {
+            let datagram = Note { from: 1, incarnation: 1, number, items }.seal(&Keys::default());
+            old.send_to(&datagram.expect("it has room"), all[0]).await.expect("sent");
+            let received_datagram =
+                tokio::time::timeout(Duration::from_millis(50), old.recv_from(&mut buffer)).await;
+            let Ok(Ok((n, _))) = received_datagram else { continue };
+            let datagram = Note::open(&buffer[..n], &Keys::default()).expect("in its own format");
+            if datagram.items.iter().any(|item| matches!(item, Item::Permit { total: 1.., .. })) {
                 return;
             }
         }
     };
-    tokio::time::timeout(FAR, permit).await.expect("a permit comes");
+    tokio::time::timeout(TIMEOUT, grant).await.expect("a grant arrives");
 }
