--- a/src/handover/new.rs
+++ b/src/handover/new.rs
@@ -23,7 +23,7 @@
 use crate::interface::{LimitReport, Micros, Outcome};
 use crate::retry::retry_transient;
 use crate::standing::ProcessStatus;
-use crate::store::{Mark, Owner, mark, own};
+use crate::store::{FolderLock, JournalPosition, journal_position, lock_folder};
 
 /// Interval between attempts to lock the folder or to reach its owner, in microseconds.
 const POLL_INTERVAL: Micros = 20_000;
@@ -31,7 +31,7 @@
 /// The result of a start.
 pub struct Takeover {
     /// Ownership of the folder.
-    pub owner: Owner,
+    pub owner: FolderLock,
     /// The state of the old process and the link to it. Without them there is only the journal.
     pub handed_over: Option<(Box<HandoverState>, Link)>,
 }
@@ -90,12 +90,12 @@
     }
 }
 
-async fn own_when_possible(folder: &Path, status: &ProcessStatus) -> std::io::Result<Option<Owner>> {
-    retry_transient("state folder", status, async || own(folder)).await
+async fn own_when_possible(folder: &Path, status: &ProcessStatus) -> std::io::Result<Option<FolderLock>> {
+    retry_transient("state folder", status, async || lock_folder(folder)).await
 }
 
-async fn mark_when_possible(folder: &Path, status: &ProcessStatus) -> std::io::Result<Mark> {
-    retry_transient("state folder", status, async || mark(folder)).await
+async fn mark_when_possible(folder: &Path, status: &ProcessStatus) -> std::io::Result<JournalPosition> {
+    retry_transient("state folder", status, async || journal_position(folder)).await
 }
 
 async fn pause(clock: Clock) {
@@ -172,15 +172,15 @@
     let _ = link.send(&LinkMessage::Serving).await;
     loop {
         let message = tokio::select! {
-            Some(reply) = outgoing.recv() => {
-                let message = match reply {
-                    Reply::Answer(number, answer) => LinkMessage::Answer(number, answer),
-                    Reply::Cancel(id, attempt) => LinkMessage::Cancel(id, attempt),
-                };
-                let _ = link.send(&message).await;
-                continue;
-            }
-            message = link.next() => message,
+        Some(reply) = outgoing.recv() => {
+        let message = match reply {
+        Reply::Answer(number, answer) => LinkMessage::Answer(number, answer),
+        Reply::Cancel(id, attempt) => LinkMessage::Cancel(id, attempt),
+        };
+        let _ = link.send(&message).await;
+        continue;
+        }
+        message = link.next() => message,
         };
         let input = match message {
             Some(Ok(LinkMessage::Submitted(number, exchange))) => {
