--- a/src/runtime/recovery.rs
+++ b/src/runtime/recovery.rs
@@ -95,7 +95,7 @@
         }
         let Stored { id, class, tenant, due, destination, idempotency_key, body, .. } = stored;
         let exchange = Exchange { id, class, tenant, due, destination, idempotency_key, body };
-        debug!(message = exchange.id, verdict = verdict.label(), "ended by what an earlier process received");
+        debug!(message = exchange.id, verdict = verdict.label(), "ends by what was heard before");
         let (outcome, notice) = match verdict {
             Decision::Delivered => (RecordedOutcome::Delivered, None),
             Decision::EndedElsewhere => (RecordedOutcome::Withdrawn, None),
--- a/src/store/journal.rs
+++ b/src/store/journal.rs
@@ -324,7 +324,7 @@
         let freed = self.try_reclaim();
         match &freed {
             Err(error) if !self.reclaim_failed => {
-                warn!("old segments of the journal cannot be removed at present: {error}")
+                warn!("old segments of the journal stay for now: {error}")
             }
             Ok(()) if self.reclaim_failed => info!("old segments of the journal can be removed again"),
             _ => {}
